--- a/crates/lockpoint-lab/src/fleet/cold.rs
+++ b/crates/lockpoint-lab/src/fleet/cold.rs
@@ -7,7 +7,7 @@
 
 use lockpoint::fleet::{credit_transfer, token_bucket, FleetConfig};
 use lockpoint::interface::Span;
-use lockpoint::rules::{COLD_LAPSE, COLD_PUSH};
+use lockpoint::rules::{COLD_PERMIT_LIFETIME, COLD_RATE_FACTOR};
 use plotters::prelude::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -59,9 +59,10 @@
 pub fn bound(shares: bool) -> f64 {
     let model = ProcessorConfig::default();
     let window = Span::from_millis(model.tip_ms);
-    let lapse = window.max(Span::from_millis(2_000)).share(COLD_LAPSE);
+    let lapse = window.max(Span::from_millis(2_000)).scale(COLD_PERMIT_LIFETIME);
     let transfer_ttl = if shares { credit_transfer::REQUEST_TTL } else { Span::default() };
-    let most = token_bucket::max_consumed_within(window, LOAD * CAPACITY * COLD_PUSH, lapse, transfer_ttl);
+    let most =
+        token_bucket::max_consumed_within(window, LOAD * CAPACITY * COLD_RATE_FACTOR, lapse, transfer_ttl);
     most / (model.overload_factor * CAPACITY * window.secs())
 }
 
--- a/crates/lockpoint-lab/src/fleet/cold_budget/play.rs
+++ b/crates/lockpoint-lab/src/fleet/cold_budget/play.rs
@@ -5,7 +5,7 @@
 
 use lockpoint::interface::{
     Action, Attempt, AttemptEnd, CallId, Cause, Cell, Event, ListKind, LoadReport, NewCall, Number, Outcome,
-    ServerEntry, ServerId, ServerState, Settings, Span, Time, Token,
+    ServerEntry, ServerId, ServerState, Settings, Span, Time, TimerToken,
 };
 use lockpoint::rules::Controller;
 use rand_core::SeedableRng;
@@ -74,7 +74,7 @@
     Arrives { from: Life, server: usize, call: CallId, attempt: Attempt, told: bool },
     Answers { to: Life, server: usize, call: CallId, attempt: Attempt, answer: Answer },
     State { to: Life, server: usize },
-    Fires { to: Life, token: Token },
+    Fires { to: Life, token: TimerToken },
     List { to: usize, server: usize, entry: ServerEntry },
     Stops { server: usize },
     Starts { server: usize },
@@ -139,18 +139,18 @@
     let mut last = stop;
     for server in 0..scenario.stopped {
         run.book(stop, Due::Stops { server });
-        let start = stop.plus(scenario.away).plus(scenario.stagger.share(server as f64));
+        let start = stop.plus(scenario.away).plus(scenario.stagger.scale(server as f64));
         run.book(start, Due::Starts { server });
         last = last.max(start);
     }
     let first = stop.plus(scenario.away).plus(scenario.restarts.begin);
     for controller in 0..scenario.weights.len() {
         if chance(&mut run.rng) < scenario.restarts.share {
-            let at = first.plus(scenario.restarts.spread.share(chance(&mut run.rng)));
+            let at = first.plus(scenario.restarts.spread.scale(chance(&mut run.rng)));
             run.book(at, Due::Restarts { controller });
         }
     }
-    run.pass(last.plus(run.settings.cold));
+    run.pass(last.plus(run.settings.warm_up));
     run.outcome
 }
 
@@ -289,9 +289,9 @@
     fn publish(&mut self, server: usize) {
         let entry = self.machines[server].entry;
         for to in 0..self.members.len() {
-            let mut late = self.scenario.list_late.share(chance(&mut self.rng));
+            let mut late = self.scenario.list_late.scale(chance(&mut self.rng));
             if chance(&mut self.rng) < self.scenario.very_late_share {
-                late = Span(late.0 + self.scenario.very_late.share(chance(&mut self.rng)).0);
+                late = Span(late.0 + self.scenario.very_late.scale(chance(&mut self.rng)).0);
             }
             self.book(self.now.plus(late), Due::List { to, server, entry });
         }
@@ -436,7 +436,7 @@
                 member.attempts.remove(&call);
                 self.outcome.stood += u64::from(member.callers.remove(&call).is_some());
                 let took = self.now.since(sent);
-                self.tell(to, Event::Stands { call, attempt, server: id, took });
+                self.tell(to, Event::Established { call, attempt, server: id, took });
             }
         }
     }
@@ -476,7 +476,7 @@
         let now = self.now;
         let machine = &mut self.machines[server];
         let age = now.since(machine.entry.started);
-        if machine.entry.started == Time::default() || age >= self.settings.cold {
+        if machine.entry.started == Time::default() || age >= self.settings.warm_up {
             return;
         }
         self.outcome.to_cold += 1;
--- a/crates/lockpoint-lab/src/fleet/cold_budget/scenario.rs
+++ b/crates/lockpoint-lab/src/fleet/cold_budget/scenario.rs
@@ -150,20 +150,25 @@
     pub fn settings(&self) -> Settings {
         let processor = self.processor(0);
         let cells = Some((0..self.capacities.len()).map(|n| Cell(n as u16)).collect());
-        let class =
-            ClassSettings { aim: AIM, worth: 1.0, late_worth: 0.1, cells, ..ClassSettings::default() };
+        let class = ClassSettings {
+            setup_target: AIM,
+            worth: 1.0,
+            late_worth: 0.1,
+            cells,
+            ..ClassSettings::default()
+        };
         Settings {
-            gateways: self.weights.len() as u32,
+            controllers: self.weights.len() as u32,
             classes: vec![class],
             load_fields: vec![LoadField::Idle, LoadField::Circuits, LoadField::Share, LoadField::Pending],
             max_attempts: 5,
             may_cancel: true,
-            may_say_retry_after: true,
+            may_send_retry_after: true,
             max_retry_after: Span::from_millis(2_000),
-            release: Span::from_millis(500),
+            resend_delay: Span::from_millis(500),
             tick: Span::from_millis(5),
             cold_share: processor.cold_share,
-            cold: Span::from_millis(processor.cold_ms),
+            warm_up: Span::from_millis(processor.cold_ms),
             overload_factor: 2.5,
             overload_time: Span::from_millis(OVERLOAD_MS),
             ..Settings::default()
--- a/crates/lockpoint-lab/src/fleet/driven.rs
+++ b/crates/lockpoint-lab/src/fleet/driven.rs
@@ -147,20 +147,21 @@
 
 fn settings(config: &DrivenConfig) -> Settings {
     let cells = Some((0..config.servers).map(Cell).collect());
-    let class = ClassSettings { aim: AIM, worth: 1.0, late_worth: 0.1, cells, ..ClassSettings::default() };
+    let class =
+        ClassSettings { setup_target: AIM, worth: 1.0, late_worth: 0.1, cells, ..ClassSettings::default() };
     let processor = &config.processor;
     Settings {
-        gateways: u32::from(config.controllers),
+        controllers: u32::from(config.controllers),
         classes: vec![class],
         load_fields: vec![LoadField::Idle, LoadField::Circuits, LoadField::Share, LoadField::Pending],
         max_attempts: 5,
         may_cancel: true,
-        may_say_retry_after: true,
+        may_send_retry_after: true,
         max_retry_after: Span::from_millis(2_000),
-        release: Span::from_millis(500),
+        resend_delay: Span::from_millis(500),
         tick: Span::from_millis(5),
         cold_share: processor.cold_share,
-        cold: Span::from_millis(processor.cold_ms),
+        warm_up: Span::from_millis(processor.cold_ms),
         overload_factor: processor.overload_factor,
         overload_time: Span::from_millis(processor.tip_ms),
         ..Settings::default()
@@ -327,7 +328,7 @@
     fn tell(&mut self, server: u16) {
         let line = self.machines[usize::from(server)].line.clone();
         for me in 0..self.config.controllers {
-            let late = self.config.list_late.share(chance(&mut self.rng));
+            let late = self.config.list_late.scale(chance(&mut self.rng));
             self.book(self.now.plus(late), Then::List(me, vec![line.clone()]));
         }
     }
--- a/crates/lockpoint-lab/src/fleet/sim.rs
+++ b/crates/lockpoint-lab/src/fleet/sim.rs
@@ -47,7 +47,7 @@
         }
         let copies = 1 + usize::from(chance(rng) < self.twice);
         let (least, most) = self.latency;
-        (0..copies).map(|_| Span(least.0 + most.less(least).share(chance(rng)).0)).collect()
+        (0..copies).map(|_| Span(least.0 + most.saturating_sub(least).scale(chance(rng)).0)).collect()
     }
 }
 
--- a/crates/lockpoint-lab/src/load.rs
+++ b/crates/lockpoint-lab/src/load.rs
@@ -95,7 +95,7 @@
             no: self.next_no,
             iax2: iax2 < self.config.iax2,
             dest,
-            gives_up: (impatient < self.config.impatient).then(|| patience.share(when)),
+            gives_up: (impatient < self.config.impatient).then(|| patience.scale(when)),
             hangs_up: hangs_up < self.config.hang_up,
             redialled,
         }
@@ -108,7 +108,7 @@
         if of.redialled >= self.config.redials || again >= self.config.redial {
             return None;
         }
-        let at = now.plus(wait).plus(Span::from_millis(500).share(spread));
+        let at = now.plus(wait).plus(Span::from_millis(500).scale(spread));
         let mut wanted = self.wanted(at, of.redialled + 1);
         (wanted.iax2, wanted.dest) = (of.iax2, of.dest);
         Some(wanted)
--- a/crates/lockpoint-lab/src/scale/links.rs
+++ b/crates/lockpoint-lab/src/scale/links.rs
@@ -41,6 +41,6 @@
         }
         let near = self.topology.region_of(from) == self.topology.region_of(to);
         let (shortest, longest) = if near { WITHIN_REGION } else { BETWEEN_REGIONS };
-        Some(Span(shortest.0 + longest.less(shortest).share(way).0))
+        Some(Span(shortest.0 + longest.saturating_sub(shortest).scale(way).0))
     }
 }
--- a/crates/lockpoint-lab/src/scale/scenario.rs
+++ b/crates/lockpoint-lab/src/scale/scenario.rs
@@ -176,7 +176,7 @@
         let controllers = self.fleet.controllers;
         let count = (controllers / REPLACED_ONE_IN).max(1);
         let first = self.draw(controllers);
-        let pause = self.measured.share(REPLACING / f64::from(count));
+        let pause = self.measured.scale(REPLACING / f64::from(count));
         let replaced = |member: u16| {
             let distance = (member + controllers - first) % controllers;
             distance.is_multiple_of(REPLACED_ONE_IN) && distance / REPLACED_ONE_IN < count
@@ -205,7 +205,7 @@
         let topology = self.fleet.topology;
         let zone = self.draw(topology.zones);
         let lost = move |member: u16| topology.zone_of(member) == zone;
-        let back = at.plus(self.measured.share(ZONE_AWAY));
+        let back = at.plus(self.measured.scale(ZONE_AWAY));
         for server in (0..self.fleet.servers).filter(|server| lost(*server)) {
             self.add(at, Action::KillServer(server));
             self.add(back, Action::StartServer(server));
@@ -224,6 +224,6 @@
         self.add(at, Action::CutRegion(region));
         self.news_from(at.plus(STEP), inside, 0);
         self.news_from(at.plus(STEP), move |member| !inside(member), 1);
-        self.add(at.plus(self.measured.share(REGION_CUT)), Action::HealRegions);
+        self.add(at.plus(self.measured.scale(REGION_CUT)), Action::HealRegions);
     }
 }
--- a/crates/lockpoint-lab/src/scale/simulation/actions.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/actions.rs
@@ -108,7 +108,7 @@
     pub(super) fn tell_all(&mut self, server: u16) {
         let lines = Rc::new(vec![self.servers.line(server)]);
         for controller in 0..self.config.controllers {
-            let at = self.now.plus(DIRECTORY_DELAY.share(chance(&mut self.rng)));
+            let at = self.now.plus(DIRECTORY_DELAY.scale(chance(&mut self.rng)));
             self.schedule(at, Event::Listed { controller, lines: lines.clone(), whole: false });
         }
     }
--- a/crates/lockpoint-lab/src/scale/simulation/mod.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/mod.rs
@@ -143,24 +143,24 @@
 
 fn settings(config: &SimulationConfig, processor: &ProcessorConfig) -> Settings {
     let class = |service: &Service| ClassSettings {
-        aim: AIM,
+        setup_target: AIM,
         worth: 1.0,
         late_worth: 0.1,
         cells: Some(service.servers.iter().map(|server| Cell(*server)).collect()),
         ..ClassSettings::default()
     };
     Settings {
-        gateways: u32::from(config.controllers),
+        controllers: u32::from(config.controllers),
         classes: config.services.iter().map(class).collect(),
         load_fields: vec![LoadField::Idle, LoadField::Circuits, LoadField::Share, LoadField::Pending],
         max_attempts: 5,
         may_cancel: true,
-        may_say_retry_after: true,
+        may_send_retry_after: true,
         max_retry_after: Span::from_millis(2_000),
-        release: Span::from_millis(500),
+        resend_delay: Span::from_millis(500),
         tick: Span::from_millis(5),
         cold_share: processor.cold_share,
-        cold: Span::from_millis(processor.cold_ms),
+        warm_up: Span::from_millis(processor.cold_ms),
         overload_factor: processor.overload_factor,
         overload_time: Span::from_millis(processor.tip_ms),
         ..Settings::default()
@@ -210,7 +210,7 @@
         let hollow = simulation.config.controllers - simulation.config.remote;
         let starting = (0..hollow).chain(simulation.config.controllers..members);
         for member in starting {
-            let offset = simulation.config.starts_within.share(chance(&mut simulation.rng));
+            let offset = simulation.config.starts_within.scale(chance(&mut simulation.rng));
             simulation.schedule(BEGIN.plus(offset), Event::Start(member));
         }
         let first = simulation.arrivals.next(BEGIN.plus(simulation.config.starts_within));
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -9,7 +9,7 @@
 use crate::fleet::observation::{decode_listing, encode_listing};
 use crate::fleet::warnings::{Expiry, WarningChange};
 use crate::fleet::{Fleet, FleetCounts, Key, News, Observation, Outgoing};
-use crate::interface::{Cause, Event, ListKind, Outcome, Parts, ServerId, ServerState, Span, Time};
+use crate::interface::{Cause, Event, ListKind, Outcome, Permits, ServerId, ServerState, Span, Time};
 
 /// A refusal as full without a wait is published as a wait too long for any call: this multiple of the shortest aim.
 const FULL_WAIT_FACTOR: f64 = 1.5;
@@ -71,9 +71,9 @@
         if self.config.fleet.is_none() {
             return;
         }
-        let full = self.shortest_aim().share(FULL_WAIT_FACTOR);
+        let full = self.shortest_aim().scale(FULL_WAIT_FACTOR);
         let (server, wait, silent) = match event {
-            Event::Stands { server, took, .. } => (*server, *took, false),
+            Event::Established { server, took, .. } => (*server, *took, false),
             Event::Ended(end) => match (end.outcome, end.cause) {
                 (Outcome::Full, Cause::ProcessorFullFor(wait)) => (end.server, wait, false),
                 (Outcome::Full, Cause::ProcessorFull | Cause::None) => (end.server, full, false),
@@ -95,7 +95,7 @@
     /// Handles a datagram of a peer.
     pub(super) fn mail(&mut self, from: u16, data: Vec<u8>, out: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(fleet) = self.fleet() else { return self.feed(Event::Mail { from, data }, out) };
+        let Some(fleet) = self.fleet() else { return self.feed(Event::PeerMessage { from, data }, out) };
         // Malformed datagrams are counted by the fleet.
         let Ok(news) = fleet.receive(now, from, &data) else { return };
         for news in news {
@@ -105,13 +105,13 @@
                     Some(Subject::Listing(server)) => self.peer_listing(server, observation, out),
                     None => {}
                 },
-                News::Credit(CreditNews::Requested { from, key, parts }) => {
+                News::Credit(CreditNews::Requested { from, key, permits }) => {
                     let Some(server) = self.server_of(key) else { continue };
-                    self.feed(Event::Asked { from, server, parts }, out);
+                    self.feed(Event::PermitsRequested { from, server, permits }, out);
                 }
-                News::Credit(CreditNews::Granted { key, parts }) => {
+                News::Credit(CreditNews::Granted { key, permits }) => {
                     let Some(server) = self.server_of(key) else { continue };
-                    self.feed(Event::Lent { server, parts }, out);
+                    self.feed(Event::PermitsReceived { server, permits }, out);
                 }
             }
         }
@@ -121,22 +121,22 @@
     fn feed_observation(&mut self, server: ServerId, observation: Observation, out: &mut Vec<Effect>) {
         self.others_answer();
         let Observation { wait, silent, observed_at: at, .. } = observation;
-        self.feed(Event::Seen { server, wait, silent, at }, out);
+        self.feed(Event::Observation { server, wait, silent, at }, out);
     }
 
     /// The module is short of permits that peers may have.
-    pub(super) fn request_credit(&mut self, server: ServerId, parts: Parts) {
+    pub(super) fn request_credit(&mut self, server: ServerId, permits: Permits) {
         let (now, key) = (self.now, self.key_of(server));
         if let (Some(key), Some(fleet)) = (key, self.fleet()) {
-            fleet.request_credit(now, key, parts);
+            fleet.request_credit(now, key, permits);
         }
     }
 
     /// The module has taken credit off its own bucket for a peer.
-    pub(super) fn grant_credit(&mut self, to: u16, server: ServerId, parts: Parts) {
+    pub(super) fn grant_credit(&mut self, to: u16, server: ServerId, permits: Permits) {
         let key = self.key_of(server);
         if let (Some(key), Some(fleet)) = (key, self.fleet()) {
-            fleet.credit.grant(to, key, parts);
+            fleet.credit.grant(to, key, permits);
         }
     }
 
@@ -246,7 +246,7 @@
                     age,
                     own: fleet.own_view(key, now),
                     warned: server.is_some_and(|server| self.warnings.is_active(server)),
-                    permits: server.and_then(|server| self.module.rights(server)),
+                    permits: server.and_then(|server| self.module.permits(server)),
                 }
             })
             .collect();
@@ -281,6 +281,6 @@
     }
 
     fn shortest_aim(&self) -> Span {
-        self.config.settings.classes.iter().map(|class| class.aim).min().unwrap_or_default()
+        self.config.settings.classes.iter().map(|class| class.setup_target).min().unwrap_or_default()
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -23,7 +23,7 @@
 use crate::figures::{Ending, Figures, Gauges};
 use crate::fleet::warnings::Warnings;
 use crate::fleet::{Fleet, FleetConfig};
-use crate::interface::{CallId, Event, ServerId, ServerState, Settings, Span, Time, Token};
+use crate::interface::{CallId, Event, ServerId, ServerState, Settings, Span, Time, TimerToken};
 use crate::recovery::records::Change;
 use crate::rules::Controller;
 use book::Book;
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Due {
     /// A timer of the decision module.
-    Module(Token),
+    Module(TimerToken),
     /// An attempt has been waited for long enough.
     Attempt(CallId),
     /// The caller gives up now.
@@ -406,7 +406,7 @@
             upstream_requests: 0,
             pending: self.open.len() + self.book.standing.len(),
             members: listed.count(),
-            members_unavailable: self.module.avoided(now.max(self.now)),
+            members_unavailable: self.module.unavailable_servers(now.max(self.now)),
         }
     }
 
--- a/src/core/recover.rs
+++ b/src/core/recover.rs
@@ -33,7 +33,9 @@
 
     /// For so long nothing may go for a call after an attempt that may have been out, and a round more.
     pub fn release(&self) -> crate::interface::Span {
-        crate::interface::Span(self.config.settings.release.0.saturating_add(self.config.settings.tick.0))
+        crate::interface::Span(
+            self.config.settings.resend_delay.0.saturating_add(self.config.settings.tick.0),
+        )
     }
 
     /// What is to be kept, since it was last asked for.
@@ -102,7 +104,7 @@
 
     /// What the module hears of a call server's state: one that is cold takes no calls before all others have work.
     pub(super) fn state_for_module(&self, line: &HostLine) -> ServerState {
-        let cold = self.now.since(Time(line.born_ms.saturating_mul(1_000))) < self.config.settings.cold;
+        let cold = self.now.since(Time(line.born_ms.saturating_mul(1_000))) < self.config.settings.warm_up;
         let waits = self.returns.recovery.as_ref().is_some_and(|recovery| !recovery.gives_to_cold());
         match line.state {
             ServerState::Ready if cold && waits => ServerState::Draining,
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -71,7 +71,7 @@
         }
         self.book.stands(sid, open.client, o.server, open.id, o.attempt, self.now);
         let (call, attempt, server) = (open.id, Attempt(o.attempt), o.server);
-        self.feed(Event::Stands { call, attempt, server, took: self.now.since(o.sent) }, out);
+        self.feed(Event::Established { call, attempt, server, took: self.now.since(o.sent) }, out);
         if !self.clients.contains_key(&open.client) {
             // The caller's connection went while the answer was on its way here: nobody hears it.
             self.end_standing(sid, CAUSE_CLEARED, out);
@@ -132,7 +132,7 @@
     match refusal {
         Refusal::Full => Outcome::Full,
         Refusal::Error => Outcome::Error,
-        Refusal::Moot => Outcome::Moot,
+        Refusal::Moot => Outcome::NotSent,
         Refusal::Reset => Outcome::Reset,
     }
 }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -33,17 +33,20 @@
 
     fn carry_out(&mut self, action: Action, out: &mut Vec<Effect>) {
         match action {
-            Action::Send { call, server, patience } => self.send(call, server, patience, out),
+            Action::Send { call, server, timeout } => self.send(call, server, timeout, out),
             Action::Refuse { call, retry_after } => self.refuse(call, retry_after, out),
             Action::Fail { call } => self.fail(call, out),
             Action::Cancel { call, attempt } => self.cancel(call, attempt.0, out),
             Action::Timer { after, token } => self.deadlines.set(self.now.plus(after), Due::Module(token)),
-            Action::Tell { to, data } => out.push(Effect::Tell(to, data)),
-            Action::Lack { server, parts } => self.request_credit(server, parts),
-            Action::Lend { to, server, parts } => self.grant_credit(to, server, parts),
+            Action::SendToPeers { to, data } => out.push(Effect::Tell(to, data)),
+            Action::RequestPermits { server, permits } => self.request_credit(server, permits),
+            Action::LendPermits { to, server, permits } => self.grant_credit(to, server, permits),
             Action::Log(line) => out.push(Effect::Log(line)),
             // Probes are not allowed; ways to call servers are kept up; the list comes unasked.
-            Action::Probe { .. } | Action::CloseIdle { .. } | Action::Watch(_) | Action::FetchList => {}
+            Action::Probe { .. }
+            | Action::CloseIdle { .. }
+            | Action::SubscribeList(_)
+            | Action::FetchList => {}
         }
     }
 
--- a/src/core/send.rs
+++ b/src/core/send.rs
@@ -10,7 +10,7 @@
         &mut self,
         call: CallId,
         server: ServerId,
-        patience: Option<Span>,
+        timeout: Option<Span>,
         out: &mut Vec<Effect>,
     ) {
         let Some(&sid) = self.names.get(&call) else { return };
@@ -21,13 +21,13 @@
         open.attempts += 1;
         if !allowed {
             self.counts.held_back += 1;
-            let end = ended(call, attempt, server, Outcome::Moot, Cause::None, Span::default());
+            let end = ended(call, attempt, server, Outcome::NotSent, Cause::None, Span::default());
             self.events.push_back(end);
             return;
         }
         open.out = Some(Out { server, attempt, sent: now });
         let left = open.valid_until.since(now);
-        let left = patience.map_or(left, |p| p.min(left));
+        let left = timeout.map_or(left, |p| p.min(left));
         let class = self.config.classes.get(open.class).cloned().unwrap_or_else(|| "".into());
         let (number, body) = (open.number.clone(), open.body.clone());
         self.deadlines.set(now.plus(left), Due::Attempt(call));
@@ -75,7 +75,7 @@
     /// Books the end of the attempt that is out, for the module to hear.
     pub(super) fn attempt_ended(&mut self, sid: Sid, outcome: Outcome, cause: Cause, load: LoadReport) {
         let now = self.now;
-        let release = self.config.settings.release;
+        let release = self.config.settings.resend_delay;
         let Some(open) = self.open.get_mut(&sid) else { return };
         let Some(o) = open.out.take() else { return };
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
--- a/src/core/take_in.rs
+++ b/src/core/take_in.rs
@@ -41,7 +41,7 @@
         if !self.admits(client) {
             return self.not_admitted(client, set_up.sid, class, out);
         }
-        let valid_until = self.now.plus(set_up.left.less(WAY_BACK));
+        let valid_until = self.now.plus(set_up.left.saturating_sub(WAY_BACK));
         let new = NewCall {
             call: id,
             class,
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -27,17 +27,21 @@
 impl Drive {
     fn new(servers: u16) -> Drive {
         let aim = Span::from_millis(2_000);
-        let class =
-            ClassSettings { aim, worth: 1.0, cells: Some((0..9).map(Cell).collect()), ..Default::default() };
+        let class = ClassSettings {
+            setup_target: aim,
+            worth: 1.0,
+            cells: Some((0..9).map(Cell).collect()),
+            ..Default::default()
+        };
         let settings = Settings {
-            gateways: 1,
+            controllers: 1,
             classes: vec![class],
             load_fields: vec![LoadField::Idle, LoadField::Circuits, LoadField::Pending],
             max_attempts: 5,
             may_cancel: true,
-            may_say_retry_after: true,
+            may_send_retry_after: true,
             max_retry_after: Span::from_millis(2_000),
-            release: Span::from_millis(500),
+            resend_delay: Span::from_millis(500),
             tick: Span::from_millis(5),
             ..Settings::default()
         };
@@ -356,7 +360,7 @@
 fn story(hands: bool) -> Vec<String> {
     let mut drive = Drive::new(2);
     let mut config = drive.core.config.clone();
-    (config.most_held, config.settings.cold, config.settings.cold_share) =
+    (config.most_held, config.settings.warm_up, config.settings.cold_share) =
         (999, Span::from_millis(14_000), 0.36);
     (config.settings.overload_factor, config.settings.overload_time) = (2.5, Span::from_millis(1_000));
     assert!(drive.core.reconfigure(config));
@@ -766,7 +770,7 @@
 
 fn came_back(found: &Found) -> (Drive, Vec<Effect>) {
     let mut drive = Drive::new(0);
-    drive.core.config.settings.cold = Span::from_millis(14_000);
+    drive.core.config.settings.warm_up = Span::from_millis(14_000);
     drive.core.config.settings.cold_share = 0.36;
     let mut out = Vec::new();
     drive.core.keep();
--- a/src/fleet/credit_transfer.rs
+++ b/src/fleet/credit_transfer.rs
@@ -9,7 +9,7 @@
 
 use super::datagram::CreditItem;
 use super::observation::Key;
-use crate::interface::{Parts, Span, Time};
+use crate::interface::{Permits, Span, Time};
 
 /// Time after a request within which a grant counts. Longer: more credit may be in transit at once
 /// ([`max_consumed_within`](super::token_bucket::max_consumed_within)). Shorter: grants of distant peers arrive too late.
@@ -19,7 +19,7 @@
 /// Random draws per peer to be asked; a draw may name the same peer again.
 const DRAWS_PER_PEER: u16 = 4;
 /// A smaller grant is not worth a datagram.
-const MIN_GRANT: Parts = Parts(8);
+const MIN_GRANT: Permits = Permits(8);
 
 /// A message of a peer about credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,18 +31,18 @@
         /// The call server.
         key: Key,
         /// How much it needs.
-        parts: Parts,
+        permits: Permits,
     },
     /// The peer grants credit.
     Granted {
         /// The call server.
         key: Key,
         /// How much it grants.
-        parts: Parts,
+        permits: Permits,
     },
 }
 
-/// Counters of transferred credit, in [`Parts`].
+/// Counters of transferred credit, in [`Permits`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CreditCounts {
     /// Lent to peers.
@@ -83,7 +83,7 @@
 /// A shortfall that peers have not been asked to cover yet.
 #[derive(Debug)]
 struct Shortfall {
-    parts: Parts,
+    permits: Permits,
     expires_at: Time,
 }
 
@@ -92,7 +92,7 @@
 struct PendingGrant {
     /// Timestamp of the request that it answers.
     request_ms: u32,
-    credit: Vec<(Key, Parts)>,
+    credit: Vec<(Key, Permits)>,
 }
 
 /// The credit transfers of one controller.
@@ -110,20 +110,20 @@
 
 impl CreditTransfer {
     /// Notes that this controller is short of permits for a call server.
-    pub fn request(&mut self, now: Time, key: Key, parts: Parts) {
-        self.shortfalls.insert(key, Shortfall { parts, expires_at: now.plus(REQUEST_TTL) });
+    pub fn request(&mut self, now: Time, key: Key, permits: Permits) {
+        self.shortfalls.insert(key, Shortfall { permits, expires_at: now.plus(REQUEST_TTL) });
     }
 
     /// Notes credit that was taken off here for a peer. Dropped if the peer has not asked, or if it is too little.
-    pub fn grant(&mut self, to: u16, key: Key, parts: Parts) {
+    pub fn grant(&mut self, to: u16, key: Key, permits: Permits) {
         let Some(request_ms) = self.last_request_ms.get(&to).copied() else { return };
-        if parts < MIN_GRANT {
+        if permits < MIN_GRANT {
             return;
         }
-        self.counts.lent += u64::from(parts.0);
+        self.counts.lent += u64::from(permits.0);
         let pending = self.pending_grants.entry(to).or_default();
         pending.request_ms = request_ms;
-        pending.credit.push((key, parts));
+        pending.credit.push((key, permits));
     }
 
     /// How urgently something has to be sent; `None`: nothing has.
@@ -139,7 +139,7 @@
     pub fn take_grants(&mut self) -> impl Iterator<Item = CreditGrant> {
         std::mem::take(&mut self.pending_grants).into_iter().map(|(to, pending)| {
             let echo = pending.request_ms;
-            let items = pending.credit.into_iter().map(|(key, parts)| CreditItem { key, parts, echo });
+            let items = pending.credit.into_iter().map(|(key, permits)| CreditItem { key, permits, echo });
             CreditGrant { to, items: items.collect() }
         })
     }
@@ -156,7 +156,8 @@
             return None;
         }
         let shortfalls = std::mem::take(&mut self.shortfalls).into_iter();
-        let items = shortfalls.map(|(key, shortfall)| CreditItem { key, parts: shortfall.parts, echo: 0 });
+        let items =
+            shortfalls.map(|(key, shortfall)| CreditItem { key, permits: shortfall.permits, echo: 0 });
         Some(CreditRequest { items: items.collect(), recipients: self.recipients(peers, draw) })
     }
 
@@ -179,7 +180,8 @@
     /// Handles a peer's request; `sent_ms` is the timestamp of its datagram.
     pub fn receive_request(&mut self, from: u16, sent_ms: u32, items: &[CreditItem]) -> Vec<CreditNews> {
         self.last_request_ms.insert(from, sent_ms);
-        let requested = |item: &CreditItem| CreditNews::Requested { from, key: item.key, parts: item.parts };
+        let requested =
+            |item: &CreditItem| CreditNews::Requested { from, key: item.key, permits: item.permits };
         items.iter().map(requested).collect()
     }
 
@@ -189,12 +191,12 @@
         for item in items {
             let since_request = Span::from_millis(u64::from(timestamp_ms(now).wrapping_sub(item.echo)));
             if since_request >= REQUEST_TTL {
-                self.counts.too_late += u64::from(item.parts.0);
+                self.counts.too_late += u64::from(item.permits.0);
                 continue;
             }
-            self.counts.borrowed += u64::from(item.parts.0);
+            self.counts.borrowed += u64::from(item.permits.0);
             self.last_lender = Some(from);
-            news.push(CreditNews::Granted { key: item.key, parts: item.parts });
+            news.push(CreditNews::Granted { key: item.key, permits: item.permits });
         }
         news
     }
--- a/src/fleet/credit_transfer/tests.rs
+++ b/src/fleet/credit_transfer/tests.rs
@@ -11,8 +11,8 @@
 #[test]
 fn a_grant_is_void_some_time_after_the_request_however_long_it_was_in_transit() {
     let mut transfer = CreditTransfer::default();
-    let grant = CreditItem { key: KEY, parts: Parts(100), echo: timestamp_ms(at(0)) };
-    let granted = [CreditNews::Granted { key: KEY, parts: Parts(100) }];
+    let grant = CreditItem { key: KEY, permits: Permits(100), echo: timestamp_ms(at(0)) };
+    let granted = [CreditNews::Granted { key: KEY, permits: Permits(100) }];
     assert_eq!(transfer.receive_grant(at(40), 1, &[grant]), granted);
     assert_eq!(transfer.receive_grant(at(149), 1, &[grant]), granted);
     assert_eq!(transfer.receive_grant(at(150), 1, &[grant]), []);
@@ -25,15 +25,15 @@
 #[test]
 fn the_last_lender_is_asked_first_and_an_expired_shortfall_is_not_requested() {
     let mut transfer = CreditTransfer::default();
-    transfer.request(at(0), KEY, Parts(200));
+    transfer.request(at(0), KEY, Permits(200));
     let request = transfer.take_request(at(0), 9, || 4).expect("a request");
     assert_eq!(request.recipients, [4], "nobody twice");
-    let grant = CreditItem { key: KEY, parts: Parts(100), echo: timestamp_ms(at(0)) };
+    let grant = CreditItem { key: KEY, permits: Permits(100), echo: timestamp_ms(at(0)) };
     transfer.receive_grant(at(10), 7, &[grant]);
-    transfer.request(at(20), KEY, Parts(200));
+    transfer.request(at(20), KEY, Permits(200));
     let request = transfer.take_request(at(20), 9, || 4);
     assert_eq!(request.map(|request| request.recipients), Some(vec![7, 4]));
-    transfer.request(at(30), KEY, Parts(200));
+    transfer.request(at(30), KEY, Permits(200));
     assert_eq!(transfer.take_request(at(30 + 150), 9, || 4), None);
     assert_eq!(transfer.urgency(), None);
 }
@@ -41,16 +41,16 @@
 #[test]
 fn credit_is_granted_only_to_peers_that_have_asked() {
     let mut transfer = CreditTransfer::default();
-    transfer.grant(2, KEY, Parts(100));
+    transfer.grant(2, KEY, Permits(100));
     assert_eq!(transfer.urgency(), None);
-    transfer.receive_request(2, 77, &[CreditItem { key: KEY, parts: Parts(256), echo: 0 }]);
-    transfer.grant(2, KEY, Parts(100));
+    transfer.receive_request(2, 77, &[CreditItem { key: KEY, permits: Permits(256), echo: 0 }]);
+    transfer.grant(2, KEY, Permits(100));
     assert_eq!(transfer.urgency(), Some(Urgency::Immediate));
     let grants: Vec<_> = transfer.take_grants().collect();
     assert_eq!(
         grants,
-        [CreditGrant { to: 2, items: vec![CreditItem { key: KEY, parts: Parts(100), echo: 77 }] }]
+        [CreditGrant { to: 2, items: vec![CreditItem { key: KEY, permits: Permits(100), echo: 77 }] }]
     );
-    transfer.grant(2, KEY, Parts(2));
+    transfer.grant(2, KEY, Permits(2));
     assert_eq!(transfer.urgency(), None, "not worth a datagram");
 }
--- a/src/fleet/datagram.rs
+++ b/src/fleet/datagram.rs
@@ -30,7 +30,7 @@
 //! | 6-9 | of a grant, the sending time in the header of the request that it answers; else 0 |
 
 use super::observation::{Key, Observation, MAX_ENCODED_SPAN};
-use crate::interface::{Parts, Span, Time};
+use crate::interface::{Permits, Span, Time};
 
 /// Version of datagrams with observations.
 const OBSERVATIONS: u8 = 1;
@@ -114,7 +114,7 @@
     /// The call server.
     pub key: Key,
     /// How much.
-    pub parts: Parts,
+    pub permits: Permits,
     /// Of a grant, the sending time of the request that it answers; else 0.
     pub echo: u32,
 }
@@ -162,7 +162,7 @@
     let mut bytes = encode_header(CREDIT, items.len(), header);
     for item in items {
         bytes.extend(item.key.0.to_be_bytes());
-        bytes.extend(item.parts.0.to_be_bytes());
+        bytes.extend(item.permits.0.to_be_bytes());
         bytes.extend(item.echo.to_be_bytes());
     }
     bytes
@@ -214,7 +214,7 @@
 }
 
 fn decode_credit_item(bytes: &[u8]) -> CreditItem {
-    CreditItem { key: Key(u32_at(bytes, 0)), parts: Parts(u16_at(bytes, 4)), echo: u32_at(bytes, 6) }
+    CreditItem { key: Key(u32_at(bytes, 0)), permits: Permits(u16_at(bytes, 4)), echo: u32_at(bytes, 6) }
 }
 
 fn u16_at(bytes: &[u8], at: usize) -> u16 {
--- a/src/fleet/datagram/tests.rs
+++ b/src/fleet/datagram/tests.rs
@@ -6,7 +6,8 @@
 
 fn bodies() -> impl Strategy<Value = Body> {
     let item = (any::<u32>(), any::<u16>(), any::<u32>());
-    let item = item.prop_map(|(key, parts, echo)| CreditItem { key: Key(key), parts: Parts(parts), echo });
+    let item =
+        item.prop_map(|(key, permits, echo)| CreditItem { key: Key(key), permits: Permits(permits), echo });
     let credit = proptest::collection::vec(item, 0..=MAX_CREDIT_ITEMS).prop_map(Body::Credit);
     prop_oneof![items().prop_map(Body::Observations), credit]
 }
@@ -70,7 +71,7 @@
     ];
     let expected = [&[1, 0x82][..], &header_fields, observations.as_flattened()].concat();
     assert_eq!(encode(header, &Body::Observations(vec![observation, silent])), expected);
-    let credit = CreditItem { key: Key(0x1122_3344), parts: Parts(0x0123), echo: 0x5566_7788 };
+    let credit = CreditItem { key: Key(0x1122_3344), permits: Permits(0x0123), echo: 0x5566_7788 };
     let credit_fields = [0x11, 0x22, 0x33, 0x44, 0x01, 0x23, 0x55, 0x66, 0x77, 0x88];
     let expected = [&[2, 0x01][..], &header_fields, &credit_fields].concat();
     let header = Header { is_request: false, ..header };
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-use crate::interface::{Parts, Span, Time};
+use crate::interface::{Permits, Span, Time};
 pub use config::FleetConfig;
 use credit_transfer::{timestamp_ms, CreditNews, CreditTransfer, Urgency};
 use datagram::{Body, DatagramError, Header, ObservationItem, MAX_OBSERVATIONS};
@@ -260,9 +260,9 @@
     }
 
     /// Notes that this controller is short of permits for a cold call server: peers are asked in the next round.
-    pub fn request_credit(&mut self, now: Time, key: Key, parts: Parts) {
+    pub fn request_credit(&mut self, now: Time, key: Key, permits: Permits) {
         if self.config.controllers > 1 {
-            self.credit.request(now, key, parts);
+            self.credit.request(now, key, permits);
         }
     }
 
@@ -308,7 +308,7 @@
     fn start_anti_entropy(&mut self, now: Time, out: &mut Vec<Outgoing>) {
         // Between half and one and a half intervals: controllers that start together drift apart.
         let jitter = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
-        self.next_anti_entropy = now.plus(self.config.anti_entropy_interval.share(0.5 + jitter));
+        self.next_anti_entropy = now.plus(self.config.anti_entropy_interval.scale(0.5 + jitter));
         let newest = self.select(now, |_, _| true, |entry| Reverse(entry.observation.observed_at));
         let to = self.random_peer();
         self.send(now, to, true, &Body::Observations(newest), out);
--- a/src/fleet/observation.rs
+++ b/src/fleet/observation.rs
@@ -102,7 +102,7 @@
 
     /// Weight of this observation in a decision: 1 when it is fresh, falling linearly to 0 at `max_age`.
     pub fn weight(&self, now: Time, max_age: Span) -> f64 {
-        1.0 - self.age(now).between(Span::default(), max_age)
+        1.0 - self.age(now).fraction_between(Span::default(), max_age)
     }
 
     /// Whether this observation replaces the other one, that is, whether it is newer. Of two by one origin their
--- a/src/fleet/token_bucket.rs
+++ b/src/fleet/token_bucket.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{Parts, Span, Time};
+use crate::interface::{Permits, Span, Time};
 
 /// Share of the capacity that a lender keeps for its own calls. Higher: permits are discarded here that others need.
 /// Lower: the lender itself runs short a moment later.
@@ -55,17 +55,17 @@
     }
 
     /// Takes credit for another controller off this bucket, at most `wanted`; returns what was taken.
-    pub fn lend(&mut self, wanted: Parts) -> Parts {
+    pub fn lend(&mut self, wanted: Permits) -> Permits {
         let reserved = self.capacity.max(0.0) * RESERVED_SHARE;
-        let lent = Parts::of((self.tokens - reserved).max(0.0)).min(wanted);
-        self.tokens -= lent.calls();
+        let lent = Permits::from_calls((self.tokens - reserved).max(0.0)).min(wanted);
+        self.tokens -= lent.as_calls();
         lent
     }
 
     /// Adds credit that another controller lent. It is treated like refilled permits: it stays until it is consumed, or
     /// discarded above the capacity.
-    pub fn borrow(&mut self, lent: Parts) {
-        self.tokens += lent.calls();
+    pub fn borrow(&mut self, lent: Permits) {
+        self.tokens += lent.as_calls();
     }
 }
 
--- a/src/fleet/token_bucket/tests.rs
+++ b/src/fleet/token_bucket/tests.rs
@@ -12,8 +12,8 @@
 fn lent_credit_moves_from_the_lender_to_the_borrower() {
     let (mut lender, mut other) = (TokenBucket::new(0.0, at(0)), TokenBucket::new(-0.75, at(0)));
     lender.refill(at(1_000), 4.0, 4.0, || 1.0);
-    let lent = lender.lend(Parts::of(0.75));
-    assert_eq!((lent, lender.available()), (Parts::of(0.75), 3.25));
+    let lent = lender.lend(Permits::from_calls(0.75));
+    assert_eq!((lent, lender.available()), (Permits::from_calls(0.75), 3.25));
     other.borrow(lent);
     assert_eq!(other.available(), 0.0, "one can be consumed");
     other.consume(1.0);
@@ -23,11 +23,11 @@
 #[test]
 fn a_lender_keeps_its_reserve_and_lends_nothing_that_it_does_not_have() {
     let mut bucket = TokenBucket::new(-0.3, at(0));
-    assert_eq!(bucket.lend(Parts::of(2.0)), Parts(0));
+    assert_eq!(bucket.lend(Permits::from_calls(2.0)), Permits(0));
     bucket.refill(at(1_000), 0.8, 0.8, || 1.0);
-    assert_eq!(bucket.lend(Parts::of(2.0)), Parts::of(0.1), "0.5 there, 0.4 kept");
+    assert_eq!(bucket.lend(Permits::from_calls(2.0)), Permits::from_calls(0.1), "0.5 there, 0.4 kept");
     bucket.refill(at(9_000), 0.8, 0.8, || 0.1);
-    let all: f64 = (0..9).map(|_| bucket.lend(Parts::of(2.0)).calls()).sum();
+    let all: f64 = (0..9).map(|_| bucket.lend(Permits::from_calls(2.0)).as_calls()).sum();
     assert!(all <= 0.4 && bucket.available() >= 0.4, "{all} {bucket:?}");
 }
 
@@ -46,7 +46,7 @@
                     consumed += 1.0;
                 }
                 1 if one != other => {
-                    let lent = buckets[one].lend(Parts::of(3.0));
+                    let lent = buckets[one].lend(Permits::from_calls(3.0));
                     // One grant in five is lost in transit.
                     if ms % 5 > 0 {
                         buckets[other].borrow(lent);
--- a/src/front/iax2/mod.rs
+++ b/src/front/iax2/mod.rs
@@ -254,7 +254,7 @@
         };
         match examiner.check(from.ip(), &asked, &frame.elements, now) {
             Ok(()) => {
-                set_up.left = set_up.left.less(now.since(since));
+                set_up.left = set_up.left.saturating_sub(now.since(since));
                 self.open(client, no, set_up, todo);
             }
             Err(error) => {
--- a/src/iax2/registrant.rs
+++ b/src/iax2/registrant.rs
@@ -55,7 +55,7 @@
     /// One that asks within a second of `now`. `seed`: where its jitter comes from.
     pub fn new(at: SocketAddr, now: Time, seed: u64) -> Registrant {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let first = now.plus(FIRST_GAP.share(chance(&mut rng)));
+        let first = now.plus(FIRST_GAP.scale(chance(&mut rng)));
         Registrant { at, state: State::Waits(first), failures: 0, until: None, rng }
     }
 
@@ -87,7 +87,7 @@
         let (least, most) = RENEWED;
         let share = least + (most - least) * chance(&mut self.rng);
         (self.failures, self.until) = (0, Some(now.plus(granted)));
-        self.state = State::Waits(now.plus(granted.share(share)));
+        self.state = State::Waits(now.plus(granted.scale(share)));
     }
 
     /// Refused, or not answered.
@@ -95,7 +95,7 @@
         let gap = Span(FIRST_GAP.0 << self.failures.min(20)).min(LONGEST_GAP);
         self.failures += 1;
         // Between a half and the whole of the gap: spread, and never at once.
-        let gap = gap.share(0.5 + 0.5 * chance(&mut self.rng));
+        let gap = gap.scale(0.5 + 0.5 * chance(&mut self.rng));
         self.state = State::Waits(now.plus(gap));
     }
 
--- a/src/iax2/registrar.rs
+++ b/src/iax2/registrar.rs
@@ -63,7 +63,7 @@
     ) -> Result<u32, RegisterError> {
         let secs = secs.unwrap_or(USUAL_SECS).clamp(GRANTED_SECS.0, GRANTED_SECS.1);
         let granted = Span::from_millis(u64::from(secs) * 1000);
-        let until = now.plus(granted).plus(granted.share(GRACE));
+        let until = now.plus(granted).plus(granted.scale(GRACE));
         let before = self.0.get(user).filter(|place| place.until > now).copied();
         let fresh = Place { at, born: now, until, moved: now, renewed: now, granted };
         let place = match before {
@@ -73,7 +73,7 @@
                 return Err(RegisterError::Elsewhere);
             }
             Some(place) if place.at != at => fresh,
-            Some(place) if now.since(place.renewed) < place.granted.share(EARLY) => {
+            Some(place) if now.since(place.renewed) < place.granted.scale(EARLY) => {
                 Place { moved: place.moved, ..fresh }
             }
             Some(place) => Place { until, renewed: now, granted, ..place },
--- a/src/iax2/round_trip.rs
+++ b/src/iax2/round_trip.rs
@@ -69,7 +69,7 @@
 /// near is asked again soon, and one that is silent is asked no more often than any other.
 pub fn next_gap(first: Span, gap: Span) -> Span {
     let growth = (LAST_GAP.secs() / first.secs().max(1e-3)).powf(1.0 / f64::from(COPIES - 1));
-    gap.share(growth).min(LAST_GAP)
+    gap.scale(growth).min(LAST_GAP)
 }
 
 #[cfg(test)]
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -36,22 +36,22 @@
         Span((secs.max(0.0) * 1e6) as u64)
     }
     /// Where this length lies between `from` (0 and below) and `to` (1 and above).
-    pub fn between(self, from: Span, to: Span) -> f64 {
+    pub fn fraction_between(self, from: Span, to: Span) -> f64 {
         if self <= from {
             return 0.0;
         }
-        (self.less(from).0 as f64 / to.less(from).0.max(1) as f64).min(1.0)
+        (self.saturating_sub(from).0 as f64 / to.saturating_sub(from).0.max(1) as f64).min(1.0)
     }
     /// The length in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
     /// A share of this length; below zero or not a number counts as zero.
-    pub fn share(self, part: f64) -> Span {
+    pub fn scale(self, part: f64) -> Span {
         Span((self.0 as f64 * part.max(0.0)) as u64)
     }
     /// What is left after `other` has been taken off; zero at the least.
-    pub fn less(self, other: Span) -> Span {
+    pub fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
 }
@@ -81,24 +81,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Number(pub u64);
 
-/// Parts of the right to send one call: so many 256ths of it.
+/// Permits of the right to send one call: so many 256ths of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
-pub struct Parts(pub u16);
+pub struct Permits(pub u16);
 
-impl Parts {
-    /// The parts in so many calls, 255.99 at most; below zero or not a number counts as zero.
-    pub fn of(calls: f64) -> Parts {
-        Parts((calls.max(0.0) * 256.0) as u16)
+impl Permits {
+    /// The permits in so many calls, 255.99 at most; below zero or not a number counts as zero.
+    pub fn from_calls(calls: f64) -> Permits {
+        Permits((calls.max(0.0) * 256.0) as u16)
     }
     /// How many calls they are.
-    pub fn calls(self) -> f64 {
+    pub fn as_calls(self) -> f64 {
         f64::from(self.0) / 256.0
     }
 }
 
 /// A timer's name, picked by the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Token(pub u32);
+pub struct TimerToken(pub u32);
 
 /// How often a call of a class may be carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -114,7 +114,7 @@
 
 /// The servers that recognise each other's repeats of a guarded call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum RepeatGroup {
+pub enum DedupScope {
     /// All of them.
     #[default]
     All,
@@ -128,7 +128,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ClassSettings {
     /// A call that stands within this earns its full worth.
-    pub aim: Span,
+    pub setup_target: Span,
     /// Worth of a call; calls are cut in this order, least first.
     pub worth: f64,
     /// Share of the worth that a call earns when it stands after the aim.
@@ -136,9 +136,9 @@
     /// How often it may be carried out.
     pub repeats: Repeats,
     /// For guarded classes: the servers among which a repeat is safe.
-    pub group: RepeatGroup,
+    pub dedup_scope: DedupScope,
     /// For guarded classes: how long a repeat is safe.
-    pub window: Span,
+    pub dedup_window: Span,
     /// Cells that may take the class; `None`: any.
     pub cells: Option<Vec<Cell>>,
 }
@@ -188,12 +188,12 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// Gateways in service, this one included.
-    pub gateways: u32,
+    pub controllers: u32,
     /// Classes of calls, by index.
     pub classes: Vec<ClassSettings>,
     /// The tenants' shares by index, in calls a second of all gateways together; empty: what is beyond a share is
     /// worth as much as what is within.
-    pub shares: Vec<f64>,
+    pub tenant_shares: Vec<f64>,
     /// Order of the values in load reports.
     pub load_fields: Vec<LoadField>,
     /// Attempts allowed for one call; 0 counts as no limit given, which is read as 1.
@@ -201,17 +201,17 @@
     /// Whether [`Action::Cancel`] is allowed.
     pub may_cancel: bool,
     /// Whether [`Action::Refuse`] may carry a time to stay away.
-    pub may_say_retry_after: bool,
+    pub may_send_retry_after: bool,
     /// The longest such time that callers obey.
     pub max_retry_after: Span,
-    /// Whether the list of servers must be asked for ([`Action::Watch`]).
-    pub list_must_be_asked: bool,
+    /// Whether the list of servers must be asked for ([`Action::SubscribeList`]).
+    pub list_needs_subscription: bool,
     /// Wait before a call is sent again after a time-out, reset or cancel.
-    pub release: Span,
+    pub resend_delay: Span,
     /// Share of its usual work that a server can do just after a start.
     pub cold_share: f64,
     /// Time from a start until a server is warm.
-    pub cold: Span,
+    pub warm_up: Span,
     /// A cold server falls over when all gateways send it more than this many times what it can do for a while;
     /// 0 or less: not told, read as 1.
     pub overload_factor: f64,
@@ -301,7 +301,7 @@
     /// Withdrawn.
     Cancelled,
     /// Not sent; it never ran.
-    Moot,
+    NotSent,
 }
 
 /// Why an attempt failed, as far as told.
@@ -359,7 +359,7 @@
     /// A call came in.
     Call(NewCall),
     /// The call stands: its final outcome.
-    Stands {
+    Established {
         /// The call.
         call: CallId,
         /// Which of its attempts.
@@ -374,7 +374,7 @@
     /// The caller hung up; the call is closed.
     HungUp(CallId),
     /// A timer has run out.
-    Timer(Token),
+    Timer(TimerToken),
     /// A look at a server's load, asked for or not.
     Load {
         /// The server.
@@ -385,7 +385,7 @@
         load: LoadReport,
     },
     /// Another gateway saw a server.
-    Seen {
+    Observation {
         /// The server.
         server: ServerId,
         /// The wait at its processor.
@@ -396,23 +396,23 @@
         at: Time,
     },
     /// Another gateway lacks rights to a cold server.
-    Asked {
+    PermitsRequested {
         /// Its number.
         from: u16,
         /// The server.
         server: ServerId,
         /// How much it lacks.
-        parts: Parts,
+        permits: Permits,
     },
     /// Another gateway lends rights to a cold server.
-    Lent {
+    PermitsReceived {
         /// The server.
         server: ServerId,
         /// How much.
-        parts: Parts,
+        permits: Permits,
     },
     /// A message from another gateway.
-    Mail {
+    PeerMessage {
         /// Its number.
         from: u16,
         /// Its bytes.
@@ -423,14 +423,14 @@
 /// What the controller asks the caller to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a set-up; the attempt ends as timed out after `patience`, or when the caller gives up.
+    /// Send a set-up; the attempt ends as timed out after `timeout`, or when the caller gives up.
     Send {
         /// The call.
         call: CallId,
         /// Where to.
         server: ServerId,
         /// Time-out; `None`: until the caller gives up.
-        patience: Option<Span>,
+        timeout: Option<Span>,
     },
     /// Final answer: refused.
     Refuse {
@@ -456,7 +456,7 @@
         /// From now.
         after: Span,
         /// To be handed back.
-        token: Token,
+        token: TimerToken,
     },
     /// Ask a server for its load; [`Event::Load`] answers.
     Probe {
@@ -469,30 +469,30 @@
         server: ServerId,
     },
     /// Send at most 256 bytes to another gateway, or to all.
-    Tell {
+    SendToPeers {
         /// The gateway's number; `None`: every one.
         to: Option<u16>,
         /// The message.
         data: Vec<u8>,
     },
     /// A call found no right to go to a cold server: others may lend so much.
-    Lack {
+    RequestPermits {
         /// The server.
         server: ServerId,
         /// How much is lacked.
-        parts: Parts,
+        permits: Permits,
     },
     /// Rights were taken off here for another gateway.
-    Lend {
+    LendPermits {
         /// Its number.
         to: u16,
         /// The server.
         server: ServerId,
         /// How much.
-        parts: Parts,
+        permits: Permits,
     },
     /// Subscribe to changes of the list (`true`) or end that; [`Event::List`] answers.
-    Watch(bool),
+    SubscribeList(bool),
     /// Ask for the whole list once; [`Event::List`] answers.
     FetchList,
     /// A line for the log of the people on call.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,7 @@
 //! use lockpoint::rules::Controller;
 //!
 //! let mut settings = Settings { max_attempts: 3, ..Settings::default() };
-//! settings.classes.push(ClassSettings { aim: Span::from_millis(1500), ..ClassSettings::default() });
+//! settings.classes.push(ClassSettings { setup_target: Span::from_millis(1500), ..ClassSettings::default() });
 //! let mut gateway = Controller::new(settings, 7);
 //! let mut actions = Vec::new();
 //!
@@ -57,7 +57,7 @@
 //!
 //! // Server 2 takes it: the call stands and the gateway owes nothing more.
 //! actions.clear();
-//! gateway.handle(Time(1_120_000), Event::Stands {
+//! gateway.handle(Time(1_120_000), Event::Established {
 //!     call: CallId(42), attempt: Attempt(1), server: server(2).server, took: Span::from_millis(70),
 //! }, &mut actions);
 //! assert!(actions.is_empty());
@@ -74,7 +74,6 @@
 pub mod counters;
 pub mod directory;
 pub mod drain;
-pub mod draw;
 pub mod figures;
 pub mod fleet;
 pub mod front;
@@ -82,9 +81,9 @@
 pub mod instance;
 pub mod interface;
 pub mod logs;
-pub mod mechanics;
 pub mod net;
 pub mod outages;
+pub mod random;
 pub mod recovery;
 pub mod replication;
 pub mod rules;
@@ -92,6 +91,7 @@
 pub mod shares;
 pub mod signals;
 pub mod takeover;
+pub mod timers;
 pub mod upstream;
 pub mod window;
 pub mod wire;
--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -146,7 +146,7 @@
             Phase::Asking | Phase::Holding => false,
             Phase::Rising => {
                 let first = self.config.first_share.clamp(0.0, 1.0);
-                let risen = now.since(self.since).between(Span::default(), self.config.rise);
+                let risen = now.since(self.since).fraction_between(Span::default(), self.config.rise);
                 self.credit += first + (1.0 - first) * risen;
                 let taken = self.credit >= 1.0;
                 self.credit -= f64::from(u8::from(taken));
--- a/src/replication/anti_entropy.rs
+++ b/src/replication/anti_entropy.rs
@@ -27,7 +27,7 @@
     /// Tells one member what there is here.
     pub(super) fn compare_with_a_member(&mut self, now: Time) {
         let spread = 0.75 + self.draw_share() / 2.0;
-        self.next_digest = now.plus(self.config.anti_entropy.share(spread));
+        self.next_digest = now.plus(self.config.anti_entropy.scale(spread));
         if !self.ready {
             self.compare_soon(now);
         }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -16,15 +16,15 @@
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-use crate::draw::Draw;
 use crate::fleet::token_bucket::TokenBucket;
 use crate::interface::{
-    Action, Attempt, AttemptEnd, CallId, Cause, ClassSettings, Event, ListKind, LoadField, LoadReport,
-    NewCall, Number, Outcome, Parts, RepeatGroup, Repeats, ServerEntry, ServerId, ServerState, Settings,
-    Span, Time, Token,
+    Action, Attempt, AttemptEnd, CallId, Cause, ClassSettings, DedupScope, Event, ListKind, LoadField,
+    LoadReport, NewCall, Number, Outcome, Permits, Repeats, ServerEntry, ServerId, ServerState, Settings,
+    Span, Time, TimerToken,
 };
-use crate::mechanics::{Seldom, Timers, UsualRate};
+use crate::random::Sample;
 use crate::shares::Shares;
+use crate::timers::{LogLimiter, Timers, UsualRate};
 use crate::window::{ByRank, Window};
 
 /// Cutoff factor K; the document's example has 1.5. Lower: cuts at noise. Higher (1.5 and 2 were
@@ -92,13 +92,13 @@
 /// A cold server gets this many times its usual calls for its warmth: a trouble brings it more than its
 /// share, and the throttle sees the waits. Lower: it idles while calls are refused. Higher: it meets a
 /// flood at once.
-pub const COLD_PUSH: f64 = 1.5;
+pub const COLD_RATE_FACTOR: f64 = 1.5;
 /// All that the gateways may send to a cold server within the time after which it falls over is at most
 /// this share of what makes it fall.
 const COLD_SAFE: f64 = 0.75;
 /// The right to send one call to a cold server lapses after this share of that time. Higher: unused
 /// rights of all gateways add up to a burst. Lower: rights lapse before a call comes for them.
-pub const COLD_LAPSE: f64 = 0.5;
+pub const COLD_PERMIT_LIFETIME: f64 = 0.5;
 /// The ramp leaves room for the worthier calls as if this share were cut, least worth first: a call of
 /// a class that such a cut would hit must find a right so much closer to its lapse. Higher: the least
 /// worth hardly gets through.
@@ -182,7 +182,7 @@
     /// while its accepts still look healthy ('full' comes only when the wait is past every aim).
     fn wait_now(&self, now: Time, hold: Span) -> Span {
         let (wait, at) = self.wait;
-        let faded = wait.less(now.since(at).less(hold).share(WAIT_FADES));
+        let faded = wait.saturating_sub(now.since(at).saturating_sub(hold).scale(WAIT_FADES));
         faded.max(self.oldest_out(now))
     }
 
@@ -190,7 +190,7 @@
     /// that should have been answered by the wait last seen. A server that is merely slow still answers
     /// in its turn.
     fn unanswered(&self, patience: Span, now: Time) -> bool {
-        now.since(self.heard) > patience && self.oldest_out(now).less(self.wait.0) > patience
+        now.since(self.heard) > patience && self.oldest_out(now).saturating_sub(self.wait.0) > patience
     }
 }
 
@@ -257,14 +257,14 @@
     #[serde(skip)]
     lacked: Vec<Action>,
     #[serde(skip)]
-    logged: Seldom,
+    logged: LogLimiter,
 }
 
 impl Controller {
     /// A controller that knows nothing but its settings. The same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let shortest_aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or_default();
-        let shares = Shares::of(&settings.shares);
+        let shortest_aim = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
+        let shares = Shares::of(&settings.tenant_shares);
         Self {
             settings,
             rng: Pcg32::seed_from_u64(seed),
@@ -279,45 +279,45 @@
             usual: UsualRate::new(LONG_WINDOW),
             shares,
             lacked: Vec::new(),
-            logged: Seldom::default(),
+            logged: LogLimiter::default(),
         }
     }
 
     /// From now on decides by these settings; what was seen so far stays. The classes keep their places.
     pub fn reconfigure(&mut self, settings: Settings) {
-        self.shortest_aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or_default();
-        self.shares.follow(&settings.shares);
+        self.shortest_aim = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
+        self.shares.follow(&settings.tenant_shares);
         self.settings = settings;
     }
 
     /// Takes one event and appends what is to be done, in order. A clock that steps back stands still.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.usual.begins(self.now) && self.settings.list_must_be_asked {
-            actions.push(Action::Watch(true));
+        if self.usual.begins(self.now) && self.settings.list_needs_subscription {
+            actions.push(Action::SubscribeList(true));
         }
         match event {
             Event::List { kind, entries } => self.on_list(kind, entries, actions),
             Event::Call(call) => self.on_call(call, actions),
-            Event::Stands { call, attempt, server, took } => self.on_stands(call, attempt, server, took),
+            Event::Established { call, attempt, server, took } => self.on_stands(call, attempt, server, took),
             Event::Ended(end) => self.on_ended(end, actions),
             Event::HungUp(call) => self.on_hung_up(call, actions),
             Event::Timer(token) => self.on_timer(token, actions),
             Event::Load { server, outcome: _, load } => self.read_load(server, &load),
-            Event::Seen { server, wait, silent, at } => self.heard_of(server, wait, silent, at),
-            Event::Asked { from, server, parts } => self.lend(from, server, parts, actions),
-            Event::Lent { server, parts } => {
+            Event::Observation { server, wait, silent, at } => self.heard_of(server, wait, silent, at),
+            Event::PermitsRequested { from, server, permits } => self.lend(from, server, permits, actions),
+            Event::PermitsReceived { server, permits } => {
                 if let Some(purse) = self.servers.get_mut(&server).and_then(|s| s.rights.as_mut()) {
-                    purse.borrow(parts);
+                    purse.borrow(permits);
                 }
             }
-            Event::Mail { from: _, data: _ } => {} // what peers see comes as `Seen`
+            Event::PeerMessage { from: _, data: _ } => {} // what peers see comes as `Observation`
         }
         actions.append(&mut self.lacked);
     }
 
     /// How many of the listed servers are avoided at `now`: they drain, have no line, or answer nothing.
-    pub fn avoided(&self, now: Time) -> usize {
+    pub fn unavailable_servers(&self, now: Time) -> usize {
         let patience = self.patience();
         let shunned = |s: &&Server| {
             let off = s.entry.state == ServerState::Draining || s.lines == Some(0.0);
@@ -340,7 +340,7 @@
             }
             ListKind::Delta => {}
         }
-        let turn = self.shortest_aim.share(OUT_OF_TURN).max(OUT_OF_TURN_LEAST);
+        let turn = self.shortest_aim.scale(OUT_OF_TURN).max(OUT_OF_TURN_LEAST);
         for entry in entries {
             match self.servers.get_mut(&entry.server) {
                 // A new start makes old knowledge void; its set-ups still out keep their place.
@@ -394,7 +394,10 @@
 
     /// Time until the last moment for a final answer.
     fn time_left(&self, call: &Call) -> Span {
-        call.new.valid_until.since(self.now).less(Span(self.settings.tick.0.saturating_mul(ANSWER_ROUNDS)))
+        call.new
+            .valid_until
+            .since(self.now)
+            .saturating_sub(Span(self.settings.tick.0.saturating_mul(ANSWER_ROUNDS)))
     }
 
     /// Where the call goes: its first choice unless the draw turns it away there, then the server that
@@ -447,11 +450,11 @@
             Repeats::Free => true,
             Repeats::SingleShot => false,
             Repeats::Guarded => {
-                self.now.since(since) < class.window
-                    && match class.group {
-                        RepeatGroup::All => true,
-                        RepeatGroup::Zone => same(|e| e.zone),
-                        RepeatGroup::Cell => same(|e| e.cell.0),
+                self.now.since(since) < class.dedup_window
+                    && match class.dedup_scope {
+                        DedupScope::All => true,
+                        DedupScope::Zone => same(|e| e.zone),
+                        DedupScope::Cell => same(|e| e.cell.0),
                     }
             }
         }
@@ -473,7 +476,7 @@
         let Some(server) = self.servers.get(&id) else { return false };
         let open = !diverted && self.unwatched() > 0.0 && !self.is_cold(server);
         let stalls = server.out.iter().map(|o| self.now.since(o.sent)).max();
-        if open && stalls.is_some_and(|age| age < self.shortest_aim.share(STALL)) && !self.speak(0.5) {
+        if open && stalls.is_some_and(|age| age < self.shortest_aim.scale(STALL)) && !self.speak(0.5) {
             return true;
         }
         if server.silent || refused && open {
@@ -493,7 +496,7 @@
     /// When this gateway may next test a silent server; drawn, so that the gateways do not test together.
     fn next_test(&mut self, id: ServerId) -> Time {
         let gap = Span::from_secs(1.0 / (self.usual_rate() * self.size(id) * TESTS_SHARE));
-        self.now.plus(gap.share(0.5 + self.rng.uniform()))
+        self.now.plus(gap.scale(0.5 + self.rng.uniform()))
     }
 
     fn mark_silent(&mut self, id: ServerId) {
@@ -514,8 +517,8 @@
         let silent_from = self.patience();
         let span = Span::from_secs(WINDOW_CALLS / self.usual_rate()).max(WINDOW).min(LONG_WINDOW);
         let (blind, aim) = (self.blind(), self.shortest_aim);
-        let hold = aim.share(blind * HOLD);
-        let (from, to) = (aim.share(PRESSED_FROM), aim.share(PRESSED_TO / (1.0 + blind)));
+        let hold = aim.scale(blind * HOLD);
+        let (from, to) = (aim.scale(PRESSED_FROM), aim.scale(PRESSED_TO / (1.0 + blind)));
         let Some(server) = self.servers.get_mut(&id) else { return 1.0 };
         if !server.silent && server.unanswered(silent_from, now) {
             self.mark_silent(id);
@@ -524,7 +527,7 @@
         server.counts.stretch(span);
         let (requests, accepts) = server.counts.counts(now);
         let late = server.out.iter().filter(|o| now.since(o.sent) > from).count();
-        let worth = 1.0 - server.wait_now(now, hold).between(from, to);
+        let worth = 1.0 - server.wait_now(now, hold).fraction_between(from, to);
         let counted = refusal_probability(f64::from(requests) + late as f64, f64::from(accepts));
         // What the formula tends to with accepts weighed so: the wait speaks even where few are counted.
         counted.max(1.0 - CUTOFF * worth)
@@ -559,7 +562,7 @@
 
     /// The share of the gateways beyond those that need no care for what the others do unseen.
     fn unwatched(&self) -> f64 {
-        1.0 - (WATCHED_BY / f64::from(self.settings.gateways.max(1))).min(1.0)
+        1.0 - (WATCHED_BY / f64::from(self.settings.controllers.max(1))).min(1.0)
     }
 
     fn count(&mut self, id: ServerId, requests: u32, accepts: u32) {
@@ -589,7 +592,7 @@
 
     fn is_cold(&self, server: &Server) -> bool {
         let started = server.entry.started;
-        started != Time::default() && self.now.since(started) < self.settings.cold
+        started != Time::default() && self.now.since(started) < self.settings.warm_up
     }
 
     /// A server fresh from a start gets this gateway's share of what it can do, as rights
@@ -605,7 +608,7 @@
         let Some((purse, rate, lapse)) = self.rights_come(id, first) else { return false };
         let short = if is_cold { lapse * spare } else { 0.0 } - purse.available();
         if is_cold && short > 0.0 {
-            self.lacked.push(Action::Lack { server: id, parts: Parts::of(short) });
+            self.lacked.push(Action::RequestPermits { server: id, permits: Permits::from_calls(short) });
         }
         rate > 0.0 && short <= 0.0
     }
@@ -613,37 +616,37 @@
     /// The rights to a server as they stand, how many come a second, and how many are kept at most.
     fn rights_come(&mut self, id: ServerId, first: f64) -> Option<(TokenBucket, f64, f64)> {
         let now = self.now;
-        let Settings { cold, cold_share, overload_factor: multiple, .. } = self.settings;
+        let Settings { warm_up, cold_share, overload_factor: multiple, .. } = self.settings;
         let share = cold_share.clamp(0.0, 1.0);
-        let safe = COLD_SAFE * if multiple > 0.0 { multiple } else { 1.0 } / (1.0 + COLD_LAPSE);
+        let safe = COLD_SAFE * if multiple > 0.0 { multiple } else { 1.0 } / (1.0 + COLD_PERMIT_LIFETIME);
         let usual = self.usual_rate() * self.size(id);
         let is_cold = self.servers.get(&id).is_some_and(|s| self.is_cold(s));
         let warm_push = WARM_PUSH / self.unwatched();
         let server = self.servers.get_mut(&id)?;
         let rate = if is_cold {
-            let warmth = now.since(server.entry.started).secs() / cold.secs();
-            usual * (share + (1.0 - share) * warmth) * COLD_PUSH.min(safe)
+            let warmth = now.since(server.entry.started).secs() / warm_up.secs();
+            usual * (share + (1.0 - share) * warmth) * COLD_RATE_FACTOR.min(safe)
         } else {
             usual * warm_push
         };
-        let lapse = rate * COLD_LAPSE * self.settings.overload_time.max(self.shortest_aim).secs();
+        let lapse = rate * COLD_PERMIT_LIFETIME * self.settings.overload_time.max(self.shortest_aim).secs();
         let purse = server.rights.get_or_insert(TokenBucket::new(first, now));
         purse.refill(now, rate, lapse, || self.rng.exponential());
         Some((*purse, rate, lapse))
     }
 
     /// Another gateway lacks rights to a cold server: it gets what is not needed here.
-    fn lend(&mut self, to: u16, id: ServerId, wanted: Parts, actions: &mut Vec<Action>) {
+    fn lend(&mut self, to: u16, id: ServerId, wanted: Permits, actions: &mut Vec<Action>) {
         if self.servers.get(&id).is_some_and(|s| self.is_cold(s)) {
             let first = -self.rng.exponential();
             self.rights_come(id, first);
             let purse = self.servers.get_mut(&id).and_then(|s| s.rights.as_mut());
-            actions.extend(purse.map(|p| Action::Lend { to, server: id, parts: p.lend(wanted) }));
+            actions.extend(purse.map(|p| Action::LendPermits { to, server: id, permits: p.lend(wanted) }));
         }
     }
 
     /// The rights held to send to a cold server, in calls; `None`: it needs none.
-    pub fn rights(&self, id: ServerId) -> Option<f64> {
+    pub fn permits(&self, id: ServerId) -> Option<f64> {
         self.servers.get(&id).filter(|s| self.is_cold(s))?.rights.map(|purse| purse.available())
     }
 
@@ -695,8 +698,8 @@
         }
         self.spend_right(id, self.is_diverted(id, &call));
         // Without the right to cancel, the time-out itself must leave room for a second attempt.
-        let patience = if self.settings.may_cancel { None } else { Some(review) };
-        actions.push(Action::Send { call: name, server: id, patience });
+        let timeout = if self.settings.may_cancel { None } else { Some(review) };
+        actions.push(Action::Send { call: name, server: id, timeout });
         self.calls.insert(name, call);
         if self.settings.may_cancel {
             self.wake_in(review, Wake::Review(name, attempt), actions);
@@ -706,8 +709,11 @@
     /// How long an attempt stays out before it is looked at: the latest that still leaves room, within
     /// the aim, for the release and another attempt.
     fn review_after(&self, call: &Call) -> Span {
-        let aim = self.settings.classes.get(call.new.class).map(|c| c.aim).unwrap_or_default();
-        let room = aim.less(self.now.since(call.came)).less(self.settings.release).less(self.reserve());
+        let aim = self.settings.classes.get(call.new.class).map(|c| c.setup_target).unwrap_or_default();
+        let room = aim
+            .saturating_sub(self.now.since(call.came))
+            .saturating_sub(self.settings.resend_delay)
+            .saturating_sub(self.reserve());
         room.max(self.review_every())
     }
 
@@ -716,12 +722,14 @@
     /// stand in its aim elsewhere.
     fn patience(&self) -> Span {
         let tells = |f: &LoadField| !matches!(f, LoadField::Idle | LoadField::Circuits | LoadField::Unknown);
-        let least = self.shortest_aim.share(SILENT_FROM);
+        let least = self.shortest_aim.scale(SILENT_FROM);
         if self.settings.load_fields.iter().any(tells) {
             return least;
         }
-        let reviewed = self.shortest_aim.less(self.settings.release).less(self.reserve());
-        least.max(reviewed.less(self.shortest_aim.share(PRESSED_FROM))) // known then, behind a healthy wait
+        let reviewed =
+            self.shortest_aim.saturating_sub(self.settings.resend_delay).saturating_sub(self.reserve());
+        least.max(reviewed.saturating_sub(self.shortest_aim.scale(PRESSED_FROM)))
+        // known then, behind a healthy wait
     }
 
     /// Whether the servers that answer make up more than this share of the size of all.
@@ -733,11 +741,11 @@
     }
 
     fn reserve(&self) -> Span {
-        self.shortest_aim.share(RESEND_SHARE).max(RESEND_LEAST)
+        self.shortest_aim.scale(RESEND_SHARE).max(RESEND_LEAST)
     }
 
     fn review_every(&self) -> Span {
-        self.shortest_aim.share(REVIEW_SHARE).max(REVIEW_LEAST)
+        self.shortest_aim.scale(REVIEW_SHARE).max(REVIEW_LEAST)
     }
 
     /// Guards against calls lost into a server that went silent (hung, vanished, cut off): a set-up
@@ -760,7 +768,7 @@
             .into_iter()
             .any(|s| s != server && self.servers.get(&s).is_some_and(|s| !s.silent));
         let others = others && (self.unwatched() == 0.0 || self.speak(0.5));
-        let room = self.time_left(call) > self.settings.release.max(self.reserve());
+        let room = self.time_left(call) > self.settings.resend_delay.max(self.reserve());
         if dead && others && room && call.attempts < self.settings.max_attempts {
             actions.push(Action::Cancel { call: id, attempt });
             if self.servers.get(&server).is_some_and(lost) {
@@ -780,7 +788,7 @@
             server.answered = server.answered.max(sent);
         }
         self.saw_wait(server, took, self.now);
-        let in_good_time = took <= self.shortest_aim.share(PRESSED_TO);
+        let in_good_time = took <= self.shortest_aim.scale(PRESSED_TO);
         self.count(server, 1, u32::from(in_good_time));
         let size = self.ready_size();
         self.usual.took(self.now, size);
@@ -813,7 +821,7 @@
         call.tried.push(end.server);
         call.stage = Stage::Releasing;
         match end.outcome {
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot => {
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent => {
                 if end.outcome == Outcome::Full {
                     call.draw *= FULL_LEAVES;
                 }
@@ -837,7 +845,7 @@
                     call.erred.push(end.server);
                 }
                 // Rule 5, and one round more, so that the wait is over by anybody's count.
-                let wait = Span(self.settings.release.0.saturating_add(self.settings.tick.0));
+                let wait = Span(self.settings.resend_delay.0.saturating_add(self.settings.tick.0));
                 self.wake_in(wait, Wake::Released(end.call), actions);
             }
         }
@@ -852,7 +860,7 @@
                 match end.cause {
                     // No free line: the processor answered in its turn, and its wait is what it was.
                     Cause::NoCircuit => self.saw_wait(end.server, waited, self.now),
-                    _ => self.saw_wait(end.server, told.max(self.shortest_aim.share(FULL_MEANS)), self.now),
+                    _ => self.saw_wait(end.server, told.max(self.shortest_aim.scale(FULL_MEANS)), self.now),
                 }
                 self.count(end.server, 1, 0);
                 if self.kept == Some(end.server) {
@@ -871,7 +879,7 @@
                 self.count(end.server, 1, 0);
                 self.mark_silent(end.server);
             }
-            Outcome::Moot => {}
+            Outcome::NotSent => {}
         }
     }
 
@@ -897,7 +905,7 @@
     /// need; a slow server needs more, so only an empty one lowers a longer wait that was seen.
     fn read_load(&mut self, id: ServerId, load: &LoadReport) {
         let now = self.now;
-        let fleet = self.usual_rate() * f64::from(self.settings.gateways.max(1)) * self.size(id);
+        let fleet = self.usual_rate() * f64::from(self.settings.controllers.max(1)) * self.size(id);
         let Some(server) = self.servers.get_mut(&id) else { return };
         for (field, &value) in self.settings.load_fields.iter().zip(&load.0) {
             match field {
@@ -967,11 +975,11 @@
         let may_refuse = call.may_have_run.is_none()
             || class.is_none_or(|c| match c.repeats {
                 Repeats::Free => true,
-                Repeats::Guarded => c.group == RepeatGroup::All,
+                Repeats::Guarded => c.dedup_scope == DedupScope::All,
                 Repeats::SingleShot => false,
             });
         if may_refuse {
-            let told = if self.settings.may_say_retry_after { COME_BACK } else { Span::default() };
+            let told = if self.settings.may_send_retry_after { COME_BACK } else { Span::default() };
             let retry_after = told.min(self.settings.max_retry_after);
             actions.push(Action::Refuse { call: id, retry_after });
         } else {
@@ -989,7 +997,7 @@
     fn withdraw(&mut self, call: &Call, actions: &mut Vec<Action>) {
         let Stage::Out { server, attempt, sent } = call.stage else { return };
         if self.no_longer_out(server, call.new.call, attempt).is_some()
-            && self.now.since(sent) > self.shortest_aim.share(SILENT_FROM)
+            && self.now.since(sent) > self.shortest_aim.scale(SILENT_FROM)
         {
             self.count(server, 1, 0);
         }
@@ -1000,7 +1008,7 @@
 
     // ---- Timers and log ------------------------------------------------------------------
 
-    fn on_timer(&mut self, token: Token, actions: &mut Vec<Action>) {
+    fn on_timer(&mut self, token: TimerToken, actions: &mut Vec<Action>) {
         match self.timers.take(token) {
             Some(Wake::LastAnswer(id)) => {
                 // Rule 1: the caller is about to give up.
@@ -1010,7 +1018,7 @@
             }
             Some(Wake::Review(id, attempt)) => self.review(id, attempt, actions),
             Some(Wake::Released(id)) => self.send_again(id, actions),
-            Some(Wake::Watch) => actions.push(Action::Watch(true)),
+            Some(Wake::Watch) => actions.push(Action::SubscribeList(true)),
             None => {}
         }
     }
--- a/src/mechanics.rs
+++ b/src/timers.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{Span, Time, Token};
+use crate::interface::{Span, Time, TimerToken};
 use crate::window::Window;
 
 /// What timers that were set are for.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Timers<W> {
-    set: BTreeMap<Token, W>,
+    set: BTreeMap<TimerToken, W>,
     next: u32,
 }
 
@@ -22,24 +22,24 @@
 
 impl<W> Timers<W> {
     /// The token of a new timer for this.
-    pub fn set(&mut self, what: W) -> Token {
-        let token = Token(self.next);
+    pub fn set(&mut self, what: W) -> TimerToken {
+        let token = TimerToken(self.next);
         self.next = self.next.wrapping_add(1);
         self.set.insert(token, what);
         token
     }
 
     /// What a timer that has run out was for.
-    pub fn take(&mut self, token: Token) -> Option<W> {
+    pub fn take(&mut self, token: TimerToken) -> Option<W> {
         self.set.remove(&token)
     }
 }
 
 /// Lines of a log, each said now and then only.
 #[derive(Debug, Default)]
-pub struct Seldom(BTreeMap<&'static str, Time>);
+pub struct LogLimiter(BTreeMap<&'static str, Time>);
 
-impl Seldom {
+impl LogLimiter {
     /// The line, unless it was said within `every`.
     pub fn says(&mut self, now: Time, every: Span, line: &'static str) -> Option<String> {
         if self.0.get(line).is_some_and(|&at| now.since(at) < every) {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -5,9 +5,9 @@
 use serde::Deserialize;
 
 use crate::interface::{
-    Action, Attempt, AttemptEnd, CallId, Cause, Cell, ClassSettings, Event, ListKind, LoadField, LoadReport,
-    NewCall, Number, Outcome, RepeatGroup, Repeats, ServerEntry, ServerId, ServerState, Settings, Span, Time,
-    Token,
+    Action, Attempt, AttemptEnd, CallId, Cause, Cell, ClassSettings, DedupScope, Event, ListKind, LoadField,
+    LoadReport, NewCall, Number, Outcome, Repeats, ServerEntry, ServerId, ServerState, Settings, Span, Time,
+    TimerToken,
 };
 
 /// Bytes ahead of the records of a batch: clock, length, count.
@@ -160,7 +160,7 @@
             14 => Outcome::ConnectFailed,
             10 => Outcome::Reset,
             1 => Outcome::Cancelled,
-            9 => Outcome::Moot,
+            9 => Outcome::NotSent,
             other => return self.fail(format!("no outcome has the code {other}")),
         })
     }
@@ -226,11 +226,11 @@
             2 => work_item(cursor)?,
             3 => {
                 let (call, took, server) = (cursor.call()?, cursor.span("rtt-us")?, cursor.server()?);
-                Event::Stands { call, took, server, attempt: Attempt(cursor.u16("hop")?) }
+                Event::Established { call, took, server, attempt: Attempt(cursor.u16("hop")?) }
             }
             4 => finished(cursor)?,
             5 => Event::HungUp(cursor.call()?),
-            6 => Event::Timer(Token(cursor.u32("handle")?)),
+            6 => Event::Timer(TimerToken(cursor.u32("handle")?)),
             7 => {
                 let (server, outcome) = (cursor.server()?, cursor.outcome()?);
                 cursor.u32("rtt-us")?;
@@ -238,7 +238,7 @@
             }
             8 => {
                 let (from, n) = (cursor.u16("author")?, cursor.u16("contents")?);
-                Event::Mail { from, data: cursor.bytes(usize::from(n), "contents")?.to_vec() }
+                Event::PeerMessage { from, data: cursor.bytes(usize::from(n), "contents")?.to_vec() }
             }
             9 => return Ok(Some(Record::Killed)),
             10 => {
@@ -356,7 +356,7 @@
 impl Reply {
     /// Appends an action of this instance.
     pub fn push(&mut self, instance: InstanceNo, action: &Action) {
-        if matches!(action, Action::Lack { .. } | Action::Lend { .. }) {
+        if matches!(action, Action::RequestPermits { .. } | Action::LendPermits { .. }) {
             return; // the simulator's wire has no form for them: its gateways share nothing
         }
         if self.instance != Some(instance) {
@@ -365,13 +365,13 @@
             self.bytes.extend(instance.to_be_bytes());
         }
         match action {
-            Action::Send { call, server, patience } => {
+            Action::Send { call, server, timeout } => {
                 self.record(64);
                 self.bytes.extend(call.0.to_be_bytes());
                 self.bytes.extend(server.address.to_be_bytes());
                 self.bytes.extend(server.port.to_be_bytes());
                 // On the wire 0 stands for no time-out, so the shortest is 1.
-                self.span(patience.map_or(Span(0), |p| p.max(Span(1))));
+                self.span(timeout.map_or(Span(0), |p| p.max(Span(1))));
             }
             Action::Refuse { call, retry_after } => {
                 self.record(65);
@@ -402,7 +402,7 @@
                 self.bytes.extend(server.address.to_be_bytes());
                 self.bytes.extend(server.port.to_be_bytes());
             }
-            Action::Tell { to, data } => {
+            Action::SendToPeers { to, data } => {
                 self.record(71);
                 self.bytes.extend(to.unwrap_or(u16::MAX).to_be_bytes());
                 self.text(data);
@@ -411,12 +411,12 @@
                 self.record(72);
                 self.text(line.as_bytes());
             }
-            Action::Watch(on) => {
+            Action::SubscribeList(on) => {
                 self.record(74);
                 self.bytes.push(u8::from(*on));
             }
             Action::FetchList => self.record(75),
-            Action::Lack { .. } | Action::Lend { .. } => {}
+            Action::RequestPermits { .. } | Action::LendPermits { .. } => {}
         }
     }
 
@@ -544,7 +544,7 @@
         lists.get(index).map(|list| list.iter().copied().map(Cell).collect())
     };
     let classes = params.classes.iter().enumerate().map(|(index, class)| ClassSettings {
-        aim: Span(class.goal_time_us),
+        setup_target: Span(class.goal_time_us),
         worth: class.worth,
         late_worth: class.late_worth,
         repeats: match class.semantics.as_str() {
@@ -552,30 +552,30 @@
             "single_shot" => Repeats::SingleShot,
             _ => Repeats::Free,
         },
-        group: match class.dedup_scope.as_str() {
-            "zone" => RepeatGroup::Zone,
-            "cell" => RepeatGroup::Cell,
-            _ => RepeatGroup::All,
+        dedup_scope: match class.dedup_scope.as_str() {
+            "zone" => DedupScope::Zone,
+            "cell" => DedupScope::Cell,
+            _ => DedupScope::All,
         },
-        window: Span(class.window_us),
+        dedup_window: Span(class.window_us),
         cells: cells(index),
     });
     Ok(Settings {
-        gateways: params.balancers,
+        controllers: params.balancers,
         classes: classes.collect(),
-        shares: match params.over_share_worth {
+        tenant_shares: match params.over_share_worth {
             Some(worth) if worth < 1.0 => params.parties.iter().map(|party| party.quota_per_s).collect(),
             _ => Vec::new(),
         },
         load_fields: params.report.names.iter().map(|name| LoadField::named(name)).collect(),
         max_attempts: params.bounds.max_attempts,
         may_cancel: params.bounds.cancel,
-        may_say_retry_after: params.bounds.retry_after,
+        may_send_retry_after: params.bounds.retry_after,
         max_retry_after: Span(params.bounds.max_retry_after_us),
-        list_must_be_asked: params.discovery == "ask",
-        release: Span(params.extra.clear_wait_us),
+        list_needs_subscription: params.discovery == "ask",
+        resend_delay: Span(params.extra.clear_wait_us),
         cold_share: params.rules.cold_share,
-        cold: Span(params.rules.cold_us),
+        warm_up: Span(params.rules.cold_us),
         overload_factor: params.rules.overload_factor,
         overload_time: Span(params.rules.tip_after_us),
         tick: Span(params.granularity_us),
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -858,7 +858,7 @@
 /// A reload while a call waits: its rest is the one that it began under, its attempts those of the new settings, and it
 /// gets its one answer.
 #[rstest]
-#[case::a_shorter_rest(|c: &mut lockpoint::config::InstanceConfig| c.core.settings.release = Span::from_millis(10), true)]
+#[case::a_shorter_rest(|c: &mut lockpoint::config::InstanceConfig| c.core.settings.resend_delay = Span::from_millis(10), true)]
 #[case::no_more_attempts(|c: &mut lockpoint::config::InstanceConfig| c.core.settings.max_attempts = 1, false)]
 fn a_reload_while_a_call_waits(
     #[case] change: fn(&mut lockpoint::config::InstanceConfig),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,18 +12,19 @@
 const START: Time = Time(1_000_000_000);
 
 fn settings() -> Settings {
-    let class = |worth| ClassSettings { aim: AIM, worth, late_worth: 0.1, ..ClassSettings::default() };
+    let class =
+        |worth| ClassSettings { setup_target: AIM, worth, late_worth: 0.1, ..ClassSettings::default() };
     Settings {
-        gateways: 8,
+        controllers: 8,
         classes: vec![class(1.0), class(3.0)],
         load_fields: vec![LoadField::Idle, LoadField::Circuits, LoadField::Wait],
         max_attempts: 4,
         may_cancel: true,
-        may_say_retry_after: true,
+        may_send_retry_after: true,
         max_retry_after: Span::from_millis(2000),
-        release: RELEASE,
+        resend_delay: RELEASE,
         cold_share: 0.3,
-        cold: Span::from_millis(12_000),
+        warm_up: Span::from_millis(12_000),
         overload_factor: 2.0,
         overload_time: Span::from_millis(3_000),
         tick: TICK,
@@ -84,7 +85,7 @@
     }
     fn stands(&mut self, call: CallId, attempt: u16, server: u16, ms: u64) -> Vec<Action> {
         let took = Span::from_millis(ms);
-        self.event(Event::Stands { call, attempt: Attempt(attempt), server: id(server), took })
+        self.event(Event::Established { call, attempt: Attempt(attempt), server: id(server), took })
     }
     fn ends(
         &mut self,
@@ -126,7 +127,7 @@
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
-fn timers(actions: &[Action]) -> Vec<(Span, Token)> {
+fn timers(actions: &[Action]) -> Vec<(Span, TimerToken)> {
     let timer = |a: &Action| match a {
         Action::Timer { after, token } => Some((*after, *token)),
         _ => None,
@@ -388,7 +389,7 @@
     bench.easy_call(2, 40);
     let (call, actions) = bench.call(1);
     let review = timers(&actions).into_iter().map(|(after, _)| after).min().expect("a review");
-    assert!(review < AIM.less(RELEASE));
+    assert!(review < AIM.saturating_sub(RELEASE));
     bench.now = bench.now.plus(review);
     let fired = timers(&actions).into_iter().min().expect("a review").1;
     let actions = bench.event(Event::Timer(fired));
@@ -423,12 +424,12 @@
         let mut bench = Bench::new(settings, 2);
         bench.call(1);
         bench.pass(ms);
-        bench.gateway.avoided(bench.now)
+        bench.gateway.unavailable_servers(bench.now)
     };
     assert_eq!([avoided(settings(), 560), avoided(blind(), 560)], [1, 0]);
     assert_eq!([avoided(settings(), 760), avoided(blind(), 760)], [1, 1]);
     // Where a rest as long as the aim leaves no time to wait, it is as where servers report.
-    let long = Settings { release: AIM, ..blind() };
+    let long = Settings { resend_delay: AIM, ..blind() };
     assert_eq!([avoided(long.clone(), 520), avoided(long, 560)], [0, 1]);
 }
 
@@ -455,7 +456,7 @@
 /// first all the same: of which calls the operators count as beyond a share nothing is known here.
 #[test]
 fn in_a_shortage_the_least_worth_is_cut_first_and_of_one_worth_who_is_beyond_its_share() {
-    let mut bench = Bench::new(Settings { shares: vec![10.0, 10.0], ..settings() }, 1);
+    let mut bench = Bench::new(Settings { tenant_shares: vec![10.0, 10.0], ..settings() }, 1);
     let mut lottery = 99u64;
     let mut one_in_four = || {
         lottery = lottery.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
@@ -474,7 +475,7 @@
             queue = Span(queue.0 + 30_000);
             bench.stands(call, 0, 1, queue.0 / 1_000);
         }
-        queue = queue.less(Span::from_millis(20));
+        queue = queue.saturating_sub(Span::from_millis(20));
         bench.pass(20);
     }
     for (tenant, class) in [(0, 0), (0, 1), (1, 0), (1, 1)] {
@@ -583,7 +584,7 @@
 #[test]
 fn one_of_many_gateways_remembers_a_jam_and_one_of_few_does_not() {
     let sent_there = |gateways: u32| {
-        let mut bench = Bench::new(Settings { gateways, ..settings() }, 2);
+        let mut bench = Bench::new(Settings { controllers: gateways, ..settings() }, 2);
         // A call to each server every four seconds.
         for _ in 0..10 {
             bench.easy_call(1, 50);
@@ -603,7 +604,7 @@
 
 /// Servers told to have so many lines, by number from 1 on.
 fn with_lines(gateways: u32, lines: &[f32]) -> Bench {
-    let mut bench = Bench::new(Settings { gateways, ..settings() }, lines.len() as u16);
+    let mut bench = Bench::new(Settings { controllers: gateways, ..settings() }, lines.len() as u16);
     for (n, &lines) in (1..).zip(lines) {
         let load = LoadReport(vec![lines, lines, -1.0]);
         bench.event(Event::Load { server: id(n), outcome: Outcome::Ok, load });
@@ -665,7 +666,7 @@
 
 #[test]
 fn one_of_many_gateways_looks_whether_a_wait_has_passed() {
-    let mut bench = Bench::new(Settings { gateways: 250, ..settings() }, 1);
+    let mut bench = Bench::new(Settings { controllers: 250, ..settings() }, 1);
     for _ in 0..10 {
         bench.easy_call(1, 50);
         bench.pass(3900);
@@ -697,7 +698,7 @@
 #[test]
 fn odd_input_gets_a_sound_answer() {
     // No server at all, a class nobody knows, a caller whose time is over, no gateways.
-    let mut bench = Bench::new(Settings { gateways: 0, ..settings() }, 0);
+    let mut bench = Bench::new(Settings { controllers: 0, ..settings() }, 0);
     assert!(refused(&bench.call(1).1));
     let mut bench = Bench::new(settings(), 2);
     assert_eq!(sent_to(&bench.call_with(1, |c| c.class = 77).1), Some(1));
@@ -720,7 +721,7 @@
     bench.stands(CallId(4_000), 0, 1, 10);
     bench.stands(call, 0, 2, 10);
     bench.stands(call, 0, 2, 10);
-    bench.event(Event::Timer(Token(12_345)));
+    bench.event(Event::Timer(TimerToken(12_345)));
     bench.now = Time(1);
     assert!(sent_to(&bench.call_with(1, |c| c.valid_until = START.plus(AIM)).1).is_some());
 }
@@ -748,7 +749,7 @@
     bench.event(full(&[]));
     assert!(refused(&bench.call(2).1));
     // One gateway alone, and settings that contradict themselves.
-    let odd = Settings { gateways: 1, cold_share: f64::NAN, overload_factor: -1.0, ..settings() };
+    let odd = Settings { controllers: 1, cold_share: f64::NAN, overload_factor: -1.0, ..settings() };
     let mut bench = Bench::new(odd, 1);
     let start = bench.now;
     bench.list(entry(1, ServerState::Ready, start));
@@ -828,7 +829,7 @@
     let mut bench = Bench::new(settings(), 3);
     let barred = (1..=3).map(|n| (id(n), false)).collect();
     let mut observer = Observer { barred, ..Observer::default() };
-    let mut due: Vec<(Time, Token)> = Vec::new();
+    let mut due: Vec<(Time, TimerToken)> = Vec::new();
     let mut wait = vec![Step::Pass { ticks: 900 }];
     for step in steps.iter().cloned().chain(wait.drain(..)) {
         let mut done = Vec::new();
@@ -933,7 +934,7 @@
 fn fleet_on_cold(gateways: u32, cold: u16, restarted: bool) -> f64 {
     const SERVERS: u16 = 6;
     const RATE: f64 = 60.0;
-    let told = Settings { gateways, ..settings() };
+    let told = Settings { controllers: gateways, ..settings() };
     let mut now = START;
     let mut lottery = 99u64;
     let mut draw = |below: u64| {
@@ -974,7 +975,8 @@
         let (due, later): (Vec<_>, Vec<_>) = answers.drain(..).partition(|a| a.0 <= now);
         answers = later;
         for (_, gateway, call, server) in due {
-            let stands = Event::Stands { call, attempt: Attempt(0), server, took: Span::from_millis(20) };
+            let stands =
+                Event::Established { call, attempt: Attempt(0), server, took: Span::from_millis(20) };
             fleet[gateway].handle(now, stands, &mut Vec::new());
         }
         // All calls ask for the cold servers once these are there, as after a jam elsewhere.
@@ -998,7 +1000,7 @@
             fleet[gateway].handle(now, Event::Call(call), &mut actions);
             if let Some(to) = sent_to(&actions) {
                 answers.push((now.plus(Span::from_millis(20)), gateway, CallId(next), id(to)));
-                if to <= cold && cold_at.is_some_and(|at| now.since(at) < told.cold) {
+                if to <= cold && cold_at.is_some_and(|at| now.since(at) < told.warm_up) {
                     sent.entry(id(to)).or_default().push(now);
                 }
             }
@@ -1010,7 +1012,7 @@
     let worst = |times: &Vec<Time>| {
         let fill = |at: &Time| {
             let inside = times.iter().filter(|t| **t >= *at && t.since(*at) < window).count() as f64;
-            let warmth = 0.3 + 0.7 * (at.since(start).secs() / told.cold.secs()).min(1.0);
+            let warmth = 0.3 + 0.7 * (at.since(start).secs() / told.warm_up.secs()).min(1.0);
             inside / (factor * RATE * warmth * window.secs())
         };
         times.iter().map(fill).fold(0.0, f64::max)
@@ -1106,9 +1108,10 @@
 #[test]
 fn a_lost_set_up_is_withdrawn_while_the_aim_can_be_met_however_short_it_is() {
     for aim in [500, 1_000, 2_000] {
-        let class = ClassSettings { aim: Span::from_millis(aim), worth: 1.0, ..ClassSettings::default() };
+        let class =
+            ClassSettings { setup_target: Span::from_millis(aim), worth: 1.0, ..ClassSettings::default() };
         let release = Span::from_millis(aim / 2);
-        let mut bench = Bench::new(Settings { classes: vec![class], release, ..settings() }, 2);
+        let mut bench = Bench::new(Settings { classes: vec![class], resend_delay: release, ..settings() }, 2);
         let (lost, first) = bench.call(1);
         assert_eq!(sent_to(&first), Some(1));
         // A set-up that was sent clearly later is answered first.
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -36,7 +36,7 @@
     });
     world.pass(FILLED);
     let filled = resident();
-    world.pass(HOUR.less(FILLED));
+    world.pass(HOUR.saturating_sub(FILLED));
     let grew = resident().saturating_sub(filled);
     println!(
         "stood {} refused {} grew {grew} bytes from {filled}",
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -260,5 +260,5 @@
 /// Aims so long that no call is refused for want of haste, however busy the machine is.
 pub fn unhurried(config: &mut InstanceConfig) {
     let aim = lockpoint::interface::Span::from_millis(600_000);
-    config.core.settings.classes.iter_mut().for_each(|class| class.aim = aim);
+    config.core.settings.classes.iter_mut().for_each(|class| class.setup_target = aim);
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -74,7 +74,8 @@
         }
         other => panic!("{other:?}"),
     }
-    let stands = Event::Stands { call: CallId(0x5d3a_91c4), attempt: Attempt(1), server, took: Span(0x2422) };
+    let stands =
+        Event::Established { call: CallId(0x5d3a_91c4), attempt: Attempt(1), server, took: Span(0x2422) };
     assert_eq!(records.next(), Some(Record::Event(stands)));
     match records.next() {
         Some(Record::Event(Event::Ended(end))) => {
@@ -85,9 +86,9 @@
         other => panic!("{other:?}"),
     }
     assert_eq!(records.next(), Some(Record::Event(Event::HungUp(CallId(0x0e6f_2b19)))));
-    assert_eq!(records.next(), Some(Record::Event(Event::Timer(Token(0x4d)))));
+    assert_eq!(records.next(), Some(Record::Event(Event::Timer(TimerToken(0x4d)))));
     assert!(matches!(records.next(), Some(Record::Event(Event::Load { .. }))));
-    assert_eq!(records.next(), Some(Record::Event(Event::Mail { from: 2, data: b"hi 7".to_vec() })));
+    assert_eq!(records.next(), Some(Record::Event(Event::PeerMessage { from: 2, data: b"hi 7".to_vec() })));
     assert_eq!(records.next(), Some(Record::Killed));
     assert!(matches!(records.next(), Some(Record::Event(Event::List { kind: ListKind::Failed, .. }))));
     // The directory outlives its batch, and a new one takes its place within one.
@@ -105,8 +106,8 @@
     let mut reply = Reply::default();
     let call = CallId(0x5d3a_91c4);
     let server = ServerId { address: 0x0a12_4a07, port: 7003 };
-    reply.push(3, &Action::Send { call, server, patience: Some(Span(80_000)) });
-    reply.push(3, &Action::Timer { after: Span(500_000), token: Token(0x4d) });
+    reply.push(3, &Action::Send { call, server, timeout: Some(Span(80_000)) });
+    reply.push(3, &Action::Timer { after: Span(500_000), token: TimerToken(0x4d) });
     reply.push(5, &Action::Log("two servers unknown".to_owned()));
     let expected = "00000005 00000036 4c00000003 40 5d3a91c4 0a124a07 1b5b 00013880 44 0007a120 0000004d
         4c00000005 48 0013 74776f2073657276657273 20 756e6b6e6f776e";
@@ -119,14 +120,14 @@
         reply.push(3, action);
         reply.finish().split_off(13)
     };
-    assert_eq!(one(&Action::Send { call, server, patience: None })[11..], hex("00000000"));
+    assert_eq!(one(&Action::Send { call, server, timeout: None })[11..], hex("00000000"));
     assert_eq!(one(&Action::Refuse { call, retry_after: Span(250_000) }), hex("415d3a91c40003d090"));
     assert_eq!(one(&Action::Fail { call }), hex("425d3a91c4"));
     assert_eq!(one(&Action::Cancel { call, attempt: Attempt(2) }), hex("435d3a91c40002"));
     assert_eq!(one(&Action::Probe { server }), hex("450a124a071b5b"));
     assert_eq!(one(&Action::CloseIdle { server }), hex("460a124a071b5b"));
-    assert_eq!(one(&Action::Tell { to: None, data: b"hi 7".to_vec() }), hex("47ffff000468692037"));
-    assert_eq!(one(&Action::Watch(true)), hex("4a01"));
+    assert_eq!(one(&Action::SendToPeers { to: None, data: b"hi 7".to_vec() }), hex("47ffff000468692037"));
+    assert_eq!(one(&Action::SubscribeList(true)), hex("4a01"));
     assert_eq!(one(&Action::FetchList), hex("4b"));
 }
 
@@ -171,16 +172,16 @@
 #[test]
 fn settings_are_read_and_unknown_keys_passed_over() {
     let settings = parse_settings(SETTINGS.as_bytes()).unwrap();
-    assert_eq!((settings.gateways, settings.max_attempts), (3, 5));
-    assert_eq!((settings.release, settings.tick), (Span::from_millis(500), Span::from_millis(5)));
+    assert_eq!((settings.controllers, settings.max_attempts), (3, 5));
+    assert_eq!((settings.resend_delay, settings.tick), (Span::from_millis(500), Span::from_millis(5)));
     assert_eq!((settings.overload_factor, settings.overload_time), (4.0, Span::from_millis(2000)));
     assert_eq!(settings.classes[0].cells, Some(vec![Cell(0), Cell(2)]));
     assert_eq!(
-        (settings.classes[0].repeats, settings.classes[0].group),
-        (Repeats::Guarded, RepeatGroup::Zone)
+        (settings.classes[0].repeats, settings.classes[0].dedup_scope),
+        (Repeats::Guarded, DedupScope::Zone)
     );
     assert_eq!(settings.load_fields, [LoadField::Idle, LoadField::Wait, LoadField::Unknown]);
-    assert!(settings.list_must_be_asked && settings.own_cell.is_none());
+    assert!(settings.list_needs_subscription && settings.own_cell.is_none());
 }
 
 #[test]
