--- a/crates/lockpoint-lab/src/flood.rs
+++ b/crates/lockpoint-lab/src/flood.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use lockpoint::iax2::frame::{ie, Elements, Frame, Iax, Kind, MOST_NUMBER};
+use lockpoint::iax2::frame::{ie, Elements, Frame, Iax, Kind, MAX_CALL_NUMBER};
 use serde::Deserialize;
 
 /// Addresses that it comes from.
@@ -57,9 +57,9 @@
         Shows::Empty => elements.with(ie::CALLTOKEN, &[]),
         Shows::Forged => elements.with(ie::CALLTOKEN, &[7; 24]),
     };
-    let source = (n / u64::from(PLACES) % u64::from(MOST_NUMBER)) as u16 + 1;
+    let source = (n / u64::from(PLACES) % u64::from(MAX_CALL_NUMBER)) as u16 + 1;
     let (kind, data, timestamp) = (Kind::Iax(Iax::New), Vec::new(), n as u32);
-    Frame { source, dest: 0, again: false, timestamp, oseq: 0, iseq: 0, kind, elements, data }.bytes()
+    Frame { source, dest: 0, retransmitted: false, timestamp, oseq: 0, iseq: 0, kind, elements, data }.bytes()
 }
 
 impl Flood {
--- a/crates/lockpoint-lab/src/iax2.rs
+++ b/crates/lockpoint-lab/src/iax2.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 
 use lockpoint::front::iax2::door::{Door, Entry};
-use lockpoint::iax2::auth::{Account, Asked, Examiner};
-use lockpoint::iax2::describe::description_in;
+use lockpoint::iax2::auth::{Account, Authenticator, IssuedChallenge};
+use lockpoint::iax2::describe::description_of;
 use lockpoint::iax2::frame::{ie, parse, Control, Datagram, Elements, Frame, Iax, Kind};
-use lockpoint::iax2::legs::{Legs, Outgoing, Told};
-use lockpoint::iax2::tokens::Tokens;
+use lockpoint::iax2::legs::{LegEvent, Legs, Outgoing};
+use lockpoint::iax2::tokens::TokenPolicy;
 use lockpoint::interface::{Span, Time};
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
@@ -115,7 +115,7 @@
     }
 
     fn arm(&self, no: u16) {
-        let Some(at) = self.legs.borrow().next_due(no) else { return };
+        let Some(at) = self.legs.borrow().next_deadline(no) else { return };
         // What is overdue and still there waits for something else: looked at again a little later.
         let at = at.max(now().plus(Span::from_millis(1)));
         if self.armed.borrow().get(&no).is_none_or(|armed| at < *armed) {
@@ -139,7 +139,7 @@
 
     fn leg_of(&self, sid: &str) -> Option<u16> {
         let no = self.number_of.borrow().get(sid).copied()?;
-        self.legs.borrow().of(no).is_some_and(|of| of == sid).then_some(no)
+        self.legs.borrow().owner(no).is_some_and(|of| of == sid).then_some(no)
     }
 
     /// Does what is due on legs.
@@ -153,7 +153,7 @@
             }
             self.armed.borrow_mut().remove(&no);
             let mut out = Vec::new();
-            self.legs.borrow_mut().due(no, now(), &mut out);
+            self.legs.borrow_mut().run_timers(no, now(), &mut out);
             self.send(out);
             self.arm(no);
         }
@@ -192,7 +192,7 @@
     }
 
     /// Takes a frame that came through.
-    fn receive(&self, from: SocketAddr, frame: &Frame) -> Option<Told<String>> {
+    fn receive(&self, from: SocketAddr, frame: &Frame) -> Option<LegEvent<String>> {
         let mut out = Vec::new();
         let told = self.legs.borrow_mut().receive(from, frame, now(), &mut out);
         self.send(out);
@@ -202,7 +202,7 @@
 }
 
 fn sid_of(wire: &Wire, no: u16) -> String {
-    wire.legs.borrow().of(no).cloned().unwrap_or_default()
+    wire.legs.borrow().owner(no).cloned().unwrap_or_default()
 }
 
 fn cause_of(frame: &Frame) -> u16 {
@@ -228,8 +228,8 @@
     /// Whom it lets in.
     pub door: RefCell<Door>,
     /// Asks the controller who it is, where it is set.
-    pub examiner: RefCell<Option<Examiner>>,
-    asked: RefCell<BTreeMap<u16, Asked>>,
+    pub examiner: RefCell<Option<Authenticator>>,
+    asked: RefCell<BTreeMap<u16, IssuedChallenge>>,
     account: RefCell<Option<Account>>,
     registers: RefCell<BTreeMap<u16, Iax>>,
     world: World,
@@ -264,7 +264,7 @@
             at: wire.socket.local_addr().expect("an address"),
             does: RefCell::new(does),
             silent: Cell::new(false),
-            door: RefCell::new(Door::new(Tokens::Off, [5; 32])),
+            door: RefCell::new(Door::new(TokenPolicy::Off, [5; 32])),
             examiner: RefCell::default(),
             asked: RefCell::default(),
             account: RefCell::default(),
@@ -340,16 +340,16 @@
             return;
         }
         match self.wire.receive(from, frame) {
-            Some(Told::New(new)) => {
+            Some(LegEvent::New(new)) => {
                 let mut out = Vec::new();
-                let no = self.wire.legs.borrow_mut().answer(from, &new, sid.clone(), now(), &mut out);
+                let no = self.wire.legs.borrow_mut().open_incoming(from, &new, sid.clone(), now(), &mut out);
                 self.wire.send(out);
                 if let Some(no) = no {
                     self.wire.number_of.borrow_mut().insert(sid.clone(), no);
                     self.wire.arm(no);
                     if let Some(examiner) = &mut *self.examiner.borrow_mut() {
                         let (elements, asked) =
-                            examiner.ask(new.elements.text(ie::USERNAME).unwrap_or_default());
+                            examiner.challenge(new.elements.text(ie::USERNAME).unwrap_or_default());
                         self.asked.borrow_mut().insert(no, asked);
                         return self.wire.say(no, Kind::Iax(Iax::AuthReq), elements);
                     }
@@ -357,26 +357,26 @@
                     self.treat(no, &sid, does);
                 }
             }
-            Some(Told::Frame(no, frame))
+            Some(LegEvent::Frame(no, frame))
                 if matches!(frame.kind, Kind::Iax(Iax::RegAuth | Iax::RegAck | Iax::RegRej)) =>
             {
                 self.registration(no, &frame);
             }
-            Some(Told::Frame(no, frame)) if frame.kind == Kind::Iax(Iax::AuthRep) => {
+            Some(LegEvent::Frame(no, frame)) if frame.kind == Kind::Iax(Iax::AuthRep) => {
                 let Some(asked) = self.asked.borrow_mut().remove(&no) else { return };
                 let checked = self
                     .examiner
                     .borrow_mut()
                     .as_mut()
-                    .map(|examiner| examiner.check(from.ip(), &asked, &frame.elements, now()));
+                    .map(|examiner| examiner.verify(from.ip(), &asked, &frame.elements, now()));
                 let does = match checked {
                     Some(Err(_)) => Does::Refuse(21, String::new()),
                     _ => self.does.borrow().clone(),
                 };
                 self.treat(no, &sid_of(&self.wire, no), does);
             }
-            Some(Told::Frame(no, frame)) if frame.kind == Kind::Iax(Iax::Hangup) => {
-                let sid = self.wire.legs.borrow().of(no).cloned();
+            Some(LegEvent::Frame(no, frame)) if frame.kind == Kind::Iax(Iax::Hangup) => {
+                let sid = self.wire.legs.borrow().owner(no).cloned();
                 self.wire.legs.borrow_mut().end(no, now());
                 self.wire.arm(no);
                 if let (Some(sid), Does::Model(machine)) = (sid, &*self.does.borrow()) {
@@ -435,7 +435,9 @@
 
     /// Registers at the controller, or leaves it.
     pub fn register(&self, to: SocketAddr, me: &Account, leaves: bool) {
-        let Some(no) = self.wire.legs.borrow_mut().call(to, REGISTRATION.to_owned(), now()) else { return };
+        let Some(no) = self.wire.legs.borrow_mut().open_outgoing(to, REGISTRATION.to_owned(), now()) else {
+            return;
+        };
         *self.account.borrow_mut() = Some(me.clone());
         let kind = if leaves { Iax::RegRel } else { Iax::RegReq };
         let elements = Elements::default().with(ie::USERNAME, me.username.as_bytes());
@@ -447,7 +449,7 @@
     fn registration(&self, no: u16, frame: &Frame) {
         let Some(kind) = self.registers.borrow().get(&no).copied() else { return };
         if frame.kind == Kind::Iax(Iax::RegAuth) {
-            let answer = self.account.borrow().as_ref().and_then(|me| me.answer(&frame.elements));
+            let answer = self.account.borrow().as_ref().and_then(|me| me.respond(&frame.elements));
             return self.wire.say(no, Kind::Iax(kind), answer.unwrap_or_default());
         }
         self.registers.borrow_mut().remove(&no);
@@ -571,7 +573,7 @@
         }
         match frame.kind {
             Kind::Iax(Iax::Accept) => {
-                self.bodies.borrow_mut().insert(sid, description_in(&frame.elements));
+                self.bodies.borrow_mut().insert(sid, description_of(&frame.elements));
             }
             Kind::Control(Control::Answer) => {
                 let body = self.bodies.borrow_mut().remove(&sid).unwrap_or_default();
@@ -585,9 +587,9 @@
     }
 
     fn through(&self, from: SocketAddr, frame: &Frame) {
-        if let Some(Told::Frame(no, frame)) = self.wire.receive(from, frame) {
+        if let Some(LegEvent::Frame(no, frame)) = self.wire.receive(from, frame) {
             if frame.kind == Kind::Iax(Iax::AuthReq) {
-                let answer = self.account.borrow().as_ref().and_then(|me| me.answer(&frame.elements));
+                let answer = self.account.borrow().as_ref().and_then(|me| me.respond(&frame.elements));
                 self.wire.say(no, Kind::Iax(Iax::AuthRep), answer.unwrap_or_default());
             }
             if matches!(frame.kind, Kind::Iax(Iax::Reject | Iax::Hangup)) {
@@ -604,7 +606,9 @@
 
     /// Asks for a call. `false`: no call number is free.
     pub fn ask(&self, sid: &str, dest: u16, ask: &Rc<Ask>) -> bool {
-        let Some(no) = self.wire.legs.borrow_mut().call(self.to, sid.to_owned(), now()) else { return false };
+        let Some(no) = self.wire.legs.borrow_mut().open_outgoing(self.to, sid.to_owned(), now()) else {
+            return false;
+        };
         self.world.note(&self.name, sid, What::Asked(ask.clone()));
         self.wire.number_of.borrow_mut().insert(sid.to_owned(), no);
         self.sids.borrow_mut().insert(no, sid.to_owned());
@@ -631,7 +635,7 @@
             let mut legs = self.wire.legs.borrow_mut();
             if !legs.answered(no) {
                 // A NEW that was never heard is not said again after its HANGUP.
-                legs.forget_sent(no);
+                legs.cancel_retransmissions(no);
             }
             drop(legs);
             self.wire.hang_up(no, Iax::Hangup, cause(16));
--- a/src/config.rs
+++ b/src/config.rs
@@ -15,7 +15,7 @@
 use crate::fleet::FleetConfig;
 use crate::iax2::auth::{Account, Users};
 use crate::iax2::bounds::Bounds;
-use crate::iax2::tokens::Tokens;
+use crate::iax2::tokens::TokenPolicy;
 use crate::instance::StoreConfig;
 use crate::interface::Span;
 use crate::logs::LogConfig;
@@ -133,7 +133,7 @@
     pub left_ms: Option<u64>,
     /// Whether callers must show a call token.
     #[serde(default)]
-    pub tokens: Tokens,
+    pub tokens: TokenPolicy,
     /// How many legs callers may begin.
     #[serde(default)]
     pub bounds: Bounds,
@@ -184,7 +184,7 @@
 impl Iax2Config {
     /// IAX2 at these addresses, all else as usual.
     pub fn at(listen: SocketAddr, from: SocketAddr) -> Iax2Config {
-        let (tokens, bounds) = (Tokens::default(), Bounds::default());
+        let (tokens, bounds) = (TokenPolicy::default(), Bounds::default());
         Iax2Config {
             listen,
             from,
--- a/src/front/iax2/door.rs
+++ b/src/front/iax2/door.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
-use crate::iax2::tokens::{Minter, TokenError, Tokens};
+use crate::iax2::tokens::{TokenError, TokenIssuer, TokenPolicy};
 use crate::interface::Time;
 
 /// Q.850: the call is rejected.
@@ -26,8 +26,8 @@
 /// The door.
 #[derive(Debug, Clone)]
 pub struct Door {
-    tokens: Tokens,
-    minter: Minter,
+    tokens: TokenPolicy,
+    minter: TokenIssuer,
 }
 
 /// An answer to a NEW that nothing is kept of (RFC 5456, 7.1: it takes no sequence number that anything goes by).
@@ -37,20 +37,20 @@
 
 impl Door {
     /// A door that asks for tokens or not; `secret` is known to nobody else.
-    pub fn new(tokens: Tokens, secret: [u8; 32]) -> Door {
-        Door { tokens, minter: Minter::new(secret) }
+    pub fn new(tokens: TokenPolicy, secret: [u8; 32]) -> Door {
+        Door { tokens, minter: TokenIssuer::new(secret) }
     }
 
     /// From now on it asks for tokens or not. Those that were given stay good.
-    pub fn reconfigure(&mut self, tokens: Tokens) {
+    pub fn reconfigure(&mut self, tokens: TokenPolicy) {
         self.tokens = tokens;
     }
 
     /// Looks at a NEW of a call that is not known.
     pub fn look(&self, from: SocketAddr, new: &Frame, now: Time) -> Entry {
         let shown = match (self.tokens, new.elements.get(ie::CALLTOKEN)) {
-            (Tokens::Off, _) | (Tokens::Asked, None) => return Entry::In,
-            (Tokens::Required, None) => {
+            (TokenPolicy::Off, _) | (TokenPolicy::Asked, None) => return Entry::In,
+            (TokenPolicy::Required, None) => {
                 let elements = Elements::default()
                     .with(ie::CAUSE, b"a call token is required")
                     .with(ie::CAUSE_CODE, &[CAUSE_REJECTED]);
@@ -59,11 +59,11 @@
             }
             (_, Some(shown)) => shown,
         };
-        match self.minter.check(from, shown, now) {
+        match self.minter.verify(from, shown, now) {
             Ok(()) => Entry::In,
             // It asks for one, or shows one that was good a while ago: it hears what is sent to it.
-            Err(TokenError::Late | TokenError::Length(0)) => {
-                let elements = Elements::default().with(ie::CALLTOKEN, &self.minter.make(from, now));
+            Err(TokenError::Expired | TokenError::Length(0)) => {
+                let elements = Elements::default().with(ie::CALLTOKEN, &self.minter.issue(from, now));
                 Entry::Answered(answer(new, Iax::CallToken, elements))
             }
             Err(error) => Entry::Dropped(error),
@@ -78,7 +78,17 @@
 
     fn new(elements: Elements) -> Frame {
         let (kind, data) = (Kind::Iax(Iax::New), Vec::new());
-        Frame { source: 9, dest: 0, again: false, timestamp: 3, oseq: 0, iseq: 0, kind, elements, data }
+        Frame {
+            source: 9,
+            dest: 0,
+            retransmitted: false,
+            timestamp: 3,
+            oseq: 0,
+            iseq: 0,
+            kind,
+            elements,
+            data,
+        }
     }
 
     fn showing(token: &[u8]) -> Frame {
@@ -89,8 +99,10 @@
     fn a_token_is_given_to_who_asks_and_lets_in_who_shows_it() {
         let (from, now) = (SocketAddr::from(([127, 0, 0, 1], 7)), Time(1_700_000_000_000_000));
         let plain = new(Elements::default());
-        for (tokens, without) in [(Tokens::Off, true), (Tokens::Asked, true), (Tokens::Required, false)] {
-            let mut door = Door::new(Tokens::Off, [1; 32]);
+        for (tokens, without) in
+            [(TokenPolicy::Off, true), (TokenPolicy::Asked, true), (TokenPolicy::Required, false)]
+        {
+            let mut door = Door::new(TokenPolicy::Off, [1; 32]);
             door.reconfigure(tokens);
             let entry = door.look(from, &plain, now);
             assert_eq!(entry == Entry::In, without, "{tokens:?}");
@@ -98,7 +110,7 @@
                 assert_eq!((reject.kind, reject.dest, reject.iseq), (Kind::Iax(Iax::Reject), 9, 1));
             }
             let Entry::Answered(given) = door.look(from, &showing(b""), now) else {
-                assert_eq!(tokens, Tokens::Off);
+                assert_eq!(tokens, TokenPolicy::Off);
                 continue;
             };
             assert_eq!((given.kind, given.dest), (Kind::Iax(Iax::CallToken), 9));
@@ -107,7 +119,7 @@
             let token = given.elements.get(ie::CALLTOKEN).expect("a token");
             assert_eq!(door.look(from, &showing(token), now), Entry::In);
             let elsewhere = SocketAddr::from(([127, 0, 0, 2], 7));
-            assert_eq!(door.look(elsewhere, &showing(token), now), Entry::Dropped(TokenError::Foreign));
+            assert_eq!(door.look(elsewhere, &showing(token), now), Entry::Dropped(TokenError::Mismatch));
             let later = now.plus(Span::from_millis(60_000));
             assert!(matches!(door.look(from, &showing(token), later), Entry::Answered(_)));
             assert_eq!(door.look(from, &showing(&token[1..]), now), Entry::Dropped(TokenError::Length(23)));
--- a/src/front/iax2/mod.rs
+++ b/src/front/iax2/mod.rs
@@ -10,13 +10,13 @@
 
 use crate::core::{Client, FrontKind, Input, SetUp, Sid, WirePart};
 use crate::front::jsonl::{CAUSE_FAILED, CAUSE_REFUSED};
-use crate::iax2::auth::{Asked, Examiner, Users};
+use crate::iax2::auth::{Authenticator, IssuedChallenge, Users};
 use crate::iax2::bounds::Bounds;
-use crate::iax2::describe::{describe, description_in};
-use crate::iax2::frame::{ie, parse, unsupported, Control, Datagram, Elements, Frame, Iax, Kind};
-use crate::iax2::legs::{Legs, Told};
+use crate::iax2::describe::{add_description, description_of};
+use crate::iax2::frame::{ie, parse, unsupport_reply, Control, Datagram, Elements, Frame, Iax, Kind};
+use crate::iax2::legs::{LegEvent, Legs};
 use crate::iax2::registrar::Registrar;
-use crate::iax2::tokens::Tokens;
+use crate::iax2::tokens::TokenPolicy;
 use crate::interface::{Cell, Span, Time};
 use crate::upstream::Todo;
 use door::{Door, Entry};
@@ -81,7 +81,7 @@
 /// Somebody who was asked who he is.
 #[derive(Debug)]
 struct Examined {
-    asked: Asked,
+    asked: IssuedChallenge,
     want: Want,
     /// When he was asked, and until when he must have answered.
     since: Time,
@@ -96,7 +96,7 @@
     next: u64,
     usual: Usual,
     door: Door,
-    examiner: Option<Examiner>,
+    examiner: Option<Authenticator>,
     /// Callers who were asked who they are, and what they want.
     examined: BTreeMap<u64, Examined>,
     registrar: Registrar,
@@ -124,11 +124,11 @@
         }
     }
 
-    /// From now on callers are asked who they are, or no longer. `key`: see [`Examiner::new`].
+    /// From now on callers are asked who they are, or no longer. `key`: see [`Authenticator::new`].
     pub fn examine(&mut self, users: Option<&Users>, key: [u8; 32]) {
         match (users.cloned(), &mut self.examiner) {
             (Some(users), Some(examiner)) => examiner.reconfigure(users),
-            (Some(users), none) => *none = Some(Examiner::new(users, key)),
+            (Some(users), none) => *none = Some(Authenticator::new(users, key)),
             (None, examiner) => *examiner = None,
         }
     }
@@ -140,7 +140,7 @@
 
     /// From now on a caller who does not say so waits this long, these are the zones, tokens are asked for or not, and
     /// so many legs may be begun.
-    pub fn reconfigure(&mut self, left: Span, zones: &[String], tokens: Tokens, bounds: Bounds) {
+    pub fn reconfigure(&mut self, left: Span, zones: &[String], tokens: TokenPolicy, bounds: Bounds) {
         self.usual.left = left;
         self.usual.zones = zones.to_vec();
         self.door.reconfigure(tokens);
@@ -170,9 +170,9 @@
         };
         let told = self.legs.receive(from, &frame, now, &mut todo.to_callers);
         match told {
-            Some(Told::New(new)) => self.set_up(from, &new, now, todo),
-            Some(Told::Frame(no, frame)) => self.frame(no, &frame, now, todo),
-            Some(Told::Lost(caller)) => self.lost(caller, todo),
+            Some(LegEvent::New(new)) => self.set_up(from, &new, now, todo),
+            Some(LegEvent::Frame(no, frame)) => self.frame(no, &frame, now, todo),
+            Some(LegEvent::Lost(caller)) => self.lost(caller, todo),
             None => {}
         }
         if frame.dest != 0 {
@@ -197,13 +197,13 @@
             return self.registers(from, new, now, todo);
         }
         let Some((no, client)) = self.leg_for(from, new, now, todo) else { return };
-        let Some(&Caller { sid, .. }) = self.legs.of(no) else { return };
+        let Some(&Caller { sid, .. }) = self.legs.owner(no) else { return };
         self.counts.news += 1;
         match self.set_up_of(sid, new) {
             Some(set_up) => match &mut self.examiner {
                 Some(examiner) => {
                     let user = new.elements.text(ie::USERNAME).unwrap_or_default();
-                    let (elements, asked) = examiner.ask(user);
+                    let (elements, asked) = examiner.challenge(user);
                     let until = now.plus(ANSWERS_WITHIN.min(set_up.left));
                     self.examined
                         .insert(client, Examined { asked, want: Want::Call(set_up), since: now, until });
@@ -225,7 +225,7 @@
         let client = self.next;
         let named = first.elements.variable("callid").and_then(|name| Sid::parse(&name));
         let sid = named.unwrap_or_else(|| Sid::numbered(mixed(self.usual.seed.wrapping_add(client))));
-        let no = self.legs.answer(from, first, Caller { client, sid }, now, &mut todo.to_callers);
+        let no = self.legs.open_incoming(from, first, Caller { client, sid }, now, &mut todo.to_callers);
         if no.is_none() {
             // No leg is left for it: it hears so at once, and nothing is kept of it.
             self.counts.turned_away += 1;
@@ -252,7 +252,7 @@
             // Nobody is asked any more.
             return self.open(client, no, set_up, todo);
         };
-        match examiner.check(from.ip(), &asked, &frame.elements, now) {
+        match examiner.verify(from.ip(), &asked, &frame.elements, now) {
             Ok(()) => {
                 set_up.left = set_up.left.less(now.since(since));
                 self.open(client, no, set_up, todo);
@@ -285,12 +285,12 @@
             number: number.into(),
             dest,
             redialled: false,
-            body: description_in(elements).into(),
+            body: description_of(elements).into(),
         })
     }
 
     fn frame(&mut self, no: u16, frame: &Frame, now: Time, todo: &mut Todo) {
-        let Some(&caller) = self.legs.of(no) else { return };
+        let Some(&caller) = self.legs.owner(no) else { return };
         if self.registrar_says(no, caller, frame, now, todo) {
             return;
         }
@@ -307,7 +307,7 @@
                 self.lost(caller, todo);
             }
             Kind::Iax(iax) => {
-                if let Some(elements) = unsupported(iax) {
+                if let Some(elements) = unsupport_reply(iax) {
                     self.legs.send(no, Kind::Iax(Iax::Unsupport), elements, now, &mut todo.to_callers);
                 }
             }
@@ -326,9 +326,9 @@
     pub fn ready(&mut self, client: u64, body: &str, now: Time, todo: &mut Todo) {
         let Some(&no) = self.of_client.get(&client) else { return };
         let out = &mut todo.to_callers;
-        self.legs.send(no, Kind::Iax(Iax::Accept), describe(Elements::default(), body), now, out);
+        self.legs.send(no, Kind::Iax(Iax::Accept), add_description(Elements::default(), body), now, out);
         self.legs.send(no, Kind::Control(Control::Answer), Elements::default(), now, out);
-        self.legs.stands(no);
+        self.legs.mark_established(no);
         self.arm(no, todo);
     }
 
@@ -352,7 +352,7 @@
         if wait > Span::default() {
             elements = elements.with_variable("wait", &wait.0.div_ceil(1000).to_string());
         }
-        let caller = self.legs.of(no).copied();
+        let caller = self.legs.owner(no).copied();
         self.legs.send(no, Kind::Iax(how), elements, now, &mut todo.to_callers);
         self.legs.end(no, now);
         if let Some(caller) = caller {
@@ -370,7 +370,7 @@
             return self.registrant_due(usize::try_from(place).unwrap_or(usize::MAX), now, todo);
         }
         let no = u16::try_from(key).unwrap_or(0);
-        if let Some(Told::Lost(caller)) = self.legs.due(no, now, &mut todo.to_callers) {
+        if let Some(LegEvent::Lost(caller)) = self.legs.run_timers(no, now, &mut todo.to_callers) {
             self.lost(caller, todo);
         }
         if self.answers_until(no).is_some_and(|until| now >= until) {
@@ -382,11 +382,11 @@
 
     /// Until when the caller of a leg must have said who he is.
     fn answers_until(&self, no: u16) -> Option<Time> {
-        Some(self.examined.get(&self.legs.of(no)?.client)?.until)
+        Some(self.examined.get(&self.legs.owner(no)?.client)?.until)
     }
 
     fn arm(&self, no: u16, todo: &mut Todo) {
-        let due = self.legs.next_due(no).into_iter().chain(self.answers_until(no)).min();
+        let due = self.legs.next_deadline(no).into_iter().chain(self.answers_until(no)).min();
         if let Some(at) = due {
             todo.dues.push((at, WirePart::IaxFront, u64::from(no)));
         }
--- a/src/front/iax2/registers.rs
+++ b/src/front/iax2/registers.rs
@@ -6,7 +6,7 @@
 use crate::core::{Sid, WirePart};
 use crate::iax2::auth::Account;
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
-use crate::iax2::registrant::{Due, Registrant, ASKED_SECS};
+use crate::iax2::registrant::{Registrant, RegistrantAction, REQUESTED_REFRESH_SECS};
 use crate::interface::Time;
 use crate::upstream::Todo;
 
@@ -35,7 +35,7 @@
         let Registers { all, .. } = std::mem::take(&mut self.registers);
         let seed = self.usual.seed;
         let one = |(n, at): (usize, &SocketAddr)| {
-            let before = all.iter().find(|registrant| registrant.at == *at).cloned();
+            let before = all.iter().find(|registrant| registrant.address == *at).cloned();
             before.unwrap_or_else(|| Registrant::new(*at, now, mixed(seed.wrapping_add(n as u64))))
         };
         let all = at.iter().enumerate().map(one).collect();
@@ -45,25 +45,25 @@
 
     /// How many registrars hold us registered.
     pub fn registered_at(&self, now: Time) -> usize {
-        self.registers.all.iter().filter(|registrant| registrant.registered(now)).count()
+        self.registers.all.iter().filter(|registrant| registrant.is_registered(now)).count()
     }
 
     fn arm_registrant(&self, place: usize, todo: &mut Todo) {
         if let Some(registrant) = self.registers.all.get(place) {
-            todo.dues.push((registrant.next_at(), WirePart::IaxFront, FIRST + place as u64));
+            todo.dues.push((registrant.next_deadline(), WirePart::IaxFront, FIRST + place as u64));
         }
     }
 
     /// Does what is due at one registrar.
     pub(super) fn registrant_due(&mut self, place: usize, now: Time, todo: &mut Todo) {
         let Some(registrant) = self.registers.all.get_mut(place) else { return };
-        match registrant.due(now) {
-            Due::Nothing => {}
-            Due::GiveUp => {
-                tracing::warn!(at = %registrant.at, "a registrar does not answer");
+        match registrant.run_timer(now) {
+            RegistrantAction::Wait => {}
+            RegistrantAction::GiveUp => {
+                tracing::warn!(at = %registrant.address, "a registrar does not answer");
                 self.registers.asking.retain(|(_, of)| *of != place);
             }
-            Due::Ask => self.ask_registrar(place, now, todo),
+            RegistrantAction::SendRequest => self.ask_registrar(place, now, todo),
         }
         self.arm_registrant(place, todo);
     }
@@ -77,10 +77,10 @@
         let caller = Caller { client: self.next, sid: Sid::numbered(0) };
         let elements = Elements::default()
             .with(ie::USERNAME, account.username.as_bytes())
-            .with(ie::REFRESH, &ASKED_SECS.to_be_bytes())
+            .with(ie::REFRESH, &REQUESTED_REFRESH_SECS.to_be_bytes())
             .with(ie::CALLTOKEN, &[]);
         // Where no number is free, the time for an answer passes, and it is tried again.
-        let Some(no) = self.legs.call(registrant.at, caller, now) else { return };
+        let Some(no) = self.legs.open_outgoing(registrant.address, caller, now) else { return };
         self.registers.asking.push((caller.client, place));
         self.legs.send(no, Kind::Iax(Iax::RegReq), elements, now, &mut todo.to_callers);
         self.arm(no, todo);
@@ -100,21 +100,22 @@
         let Some(registrant) = all.get_mut(place) else { return true };
         match frame.kind {
             Kind::Iax(Iax::RegAuth) => {
-                let answer = account.as_ref().and_then(|account| account.answer(&frame.elements));
-                let answer = answer.unwrap_or_default().with(ie::REFRESH, &ASKED_SECS.to_be_bytes());
+                let answer = account.as_ref().and_then(|account| account.respond(&frame.elements));
+                let answer =
+                    answer.unwrap_or_default().with(ie::REFRESH, &REQUESTED_REFRESH_SECS.to_be_bytes());
                 self.legs.send(no, Kind::Iax(Iax::RegReq), answer, now, &mut todo.to_callers);
                 return true;
             }
             Kind::Iax(Iax::RegAck) => {
-                if !registrant.registered(now) {
-                    tracing::info!(at = %registrant.at, "registered");
+                if !registrant.is_registered(now) {
+                    tracing::info!(at = %registrant.address, "registered");
                 }
-                let secs = frame.elements.number(ie::REFRESH).unwrap_or(u32::from(ASKED_SECS));
+                let secs = frame.elements.number(ie::REFRESH).unwrap_or(u32::from(REQUESTED_REFRESH_SECS));
                 registrant.granted(secs, now);
             }
             Kind::Iax(Iax::RegRej | Iax::Reject | Iax::Hangup | Iax::Unsupport) => {
                 let why = frame.elements.text(ie::CAUSE).unwrap_or("no reason given").to_owned();
-                tracing::warn!(at = %registrant.at, why, "a registrar refuses us");
+                tracing::warn!(at = %registrant.address, why, "a registrar refuses us");
                 registrant.failed(now);
             }
             _ => return true,
--- a/src/front/iax2/registration.rs
+++ b/src/front/iax2/registration.rs
@@ -7,7 +7,7 @@
 use crate::core::{HostLine, Input, Protocol, Source, WirePart};
 use crate::front::iax2::door::answer;
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
-use crate::iax2::registrar::Place;
+use crate::iax2::registrar::Registration;
 use crate::interface::{Cell, ServerState, Time};
 use crate::upstream::Todo;
 
@@ -25,7 +25,7 @@
             return todo.to_callers.push((from, answer(first, Iax::RegRej, elements).bytes()));
         };
         let user = first.elements.text(ie::USERNAME).unwrap_or_default();
-        let (elements, asked) = examiner.ask(user);
+        let (elements, asked) = examiner.challenge(user);
         let Some((no, client)) = self.leg_for(from, first, now, todo) else { return };
         self.examined.insert(client, Examined { asked, want, since: now, until: now.plus(ANSWERS_WITHIN) });
         self.legs.send(no, Kind::Iax(Iax::RegAuth), elements, now, &mut todo.to_callers);
@@ -43,7 +43,7 @@
     ) {
         let Examined { asked, want, .. } = examined;
         let (Some(examiner), Some(from)) = (&mut self.examiner, self.legs.peer(no)) else { return };
-        let elements = match examiner.check(from.ip(), &asked, &frame.elements, now) {
+        let elements = match examiner.verify(from.ip(), &asked, &frame.elements, now) {
             Err(error) => {
                 tracing::info!(%from, %error, "a registration was refused");
                 self.counts.not_let_in += 1;
@@ -86,7 +86,7 @@
     /// Does what is due of registrations: those whose time is over, or whose user is none any more, have left.
     pub fn expire(&mut self, now: Time, todo: &mut Todo) {
         let Callers { registrar, examiner, .. } = self;
-        let known = |user: &str| examiner.as_ref().is_some_and(|examiner| examiner.knows(user));
+        let known = |user: &str| examiner.as_ref().is_some_and(|examiner| examiner.has_user(user));
         if registrar.expire(now, known) {
             self.list(todo);
         }
@@ -94,27 +94,27 @@
     }
 
     fn arm_expiry(&self, todo: &mut Todo) {
-        if let Some(at) = self.registrar.next_at() {
+        if let Some(at) = self.registrar.next_deadline() {
             todo.dues.push((at, WirePart::IaxFront, EXPIRY));
         }
     }
 
     /// Tells of all call servers that are registered. One that was told of before and is none any more has left.
     fn list(&self, todo: &mut Todo) {
-        let line = |(user, place): (&str, &Place)| {
+        let line = |(user, place): (&str, &Registration)| {
             let server = self.examiner.as_ref()?.server(user)?;
             let zone = self.usual.zones.iter().position(|zone| *zone == server.zone);
             Some(HostLine {
                 host: user.to_owned(),
-                dial: place.at,
+                dial: place.address,
                 protocol: Protocol::Iax2,
                 cell: Cell(server.cell),
                 zone: zone.and_then(|at| u16::try_from(at).ok()).unwrap_or(u16::MAX),
-                born_ms: place.born.0 / 1000,
+                born_ms: place.started.0 / 1000,
                 state: ServerState::Ready,
             })
         };
-        let hosts = self.registrar.places().filter_map(line).collect();
+        let hosts = self.registrar.registrations().filter_map(line).collect();
         todo.inputs.push(Input::List { source: Source::Registered, whole: true, hosts });
     }
 }
--- a/src/iax2/auth.rs
+++ b/src/iax2/auth.rs
@@ -111,7 +111,7 @@
     }
 
     /// What an AUTHREP says to an AUTHREQ; none where it asks for what we do not do.
-    pub fn answer(&self, asked: &Elements) -> Option<Elements> {
+    pub fn respond(&self, asked: &Elements) -> Option<Elements> {
         let methods = asked.number(ie::AUTHMETHODS)?;
         if let Some(challenge) = asked.get(ie::CHALLENGE).filter(|_| methods & MD5 != 0) {
             return Some(
@@ -145,12 +145,12 @@
 
 /// What a caller was asked, until he answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
+pub struct IssuedChallenge {
     user: String,
     challenge: String,
 }
 
-impl Asked {
+impl IssuedChallenge {
     /// The name that he gave.
     pub fn user(&self) -> &str {
         &self.user
@@ -162,10 +162,10 @@
 pub enum AuthError {
     /// The secret is wrong, or there is no such user.
     #[error("an unknown user or a wrong secret")]
-    Wrong,
+    WrongCredentials,
     /// Too many failures.
     #[error("too many failures of this user or from this network")]
-    TooMany,
+    TooManyFailures,
 }
 
 /// Failures by whom: each is forgiven after a while.
@@ -191,7 +191,7 @@
 
 /// Asks callers who they are, and knows whether they are.
 #[derive(Debug)]
-pub struct Examiner {
+pub struct Authenticator {
     users: Users,
     /// Nobody's: an unknown user is compared with it, so that he hears the same after the same time.
     nobody: User,
@@ -201,13 +201,13 @@
     right: BTreeMap<(String, std::net::IpAddr), Time>,
 }
 
-impl Examiner {
+impl Authenticator {
     /// One who knows these users; `key` is known to nobody else.
-    pub fn new(users: Users, key: [u8; 32]) -> Examiner {
+    pub fn new(users: Users, key: [u8; 32]) -> Authenticator {
         let secret = Secret(key.iter().map(|byte| format!("{byte:02x}")).collect());
         let nobody = User { secret, plain: false, server: None };
         let (failures, right) = (Failures::default(), BTreeMap::new());
-        Examiner { users, nobody, key, asked: 0, failures, right }
+        Authenticator { users, nobody, key, asked: 0, failures, right }
     }
 
     /// From now on these users; failures stay.
@@ -216,7 +216,7 @@
     }
 
     /// Whether there is such a user.
-    pub fn knows(&self, user: &str) -> bool {
+    pub fn has_user(&self, user: &str) -> bool {
         self.users.by_name.contains_key(user)
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// What an AUTHREQ says to a caller who gives this name. It is the same for users that there are and are not.
-    pub fn ask(&mut self, user: &str) -> (Elements, Asked) {
+    pub fn challenge(&mut self, user: &str) -> (Elements, IssuedChallenge) {
         self.asked += 1;
         let mac = Hmac::<Sha256>::new_from_slice(&self.key).unwrap_or_else(|_| unreachable!("any length"));
         let mac = mac.chain_update(self.asked.to_be_bytes()).finalize().into_bytes();
@@ -237,14 +237,14 @@
             .with(ie::AUTHMETHODS, &(methods as u16).to_be_bytes())
             .with(ie::CHALLENGE, challenge.as_bytes())
             .with(ie::USERNAME, user.as_bytes());
-        (elements, Asked { user: user.to_owned(), challenge })
+        (elements, IssuedChallenge { user: user.to_owned(), challenge })
     }
 
     /// Whether an AUTHREP is right.
-    pub fn check(
+    pub fn verify(
         &mut self,
         from: std::net::IpAddr,
-        asked: &Asked,
+        asked: &IssuedChallenge,
         answer: &Elements,
         now: Time,
     ) -> Result<(), AuthError> {
@@ -257,12 +257,12 @@
         // Looked at in any case, so that being shut out takes the same time.
         let right = self.is_right(asked, answer);
         if shut {
-            return Err(AuthError::TooMany);
+            return Err(AuthError::TooManyFailures);
         }
         if !right {
             self.failures.add(&by_network, now);
             self.failures.add(&by_user, now);
-            return Err(AuthError::Wrong);
+            return Err(AuthError::WrongCredentials);
         }
         if self.right.len() >= MOST {
             self.right.retain(|_, at| now.since(*at) < TRUSTED_FOR);
@@ -273,7 +273,7 @@
         Ok(())
     }
 
-    fn is_right(&self, asked: &Asked, answer: &Elements) -> bool {
+    fn is_right(&self, asked: &IssuedChallenge, answer: &Elements) -> bool {
         let known = self.users.by_name.get(&asked.user);
         let user = known.unwrap_or(&self.nobody);
         let expected = md5_result(asked.challenge.as_bytes(), &user.secret);
@@ -296,15 +296,20 @@
         Account::parse(&format!("username = '{name}'\nsecret = '{secret}'\nplain = {plain}")).expect("good")
     }
 
-    fn tries(examiner: &mut Examiner, from: &str, account: &Account, now: Time) -> Result<(), AuthError> {
+    fn tries(
+        examiner: &mut Authenticator,
+        from: &str,
+        account: &Account,
+        now: Time,
+    ) -> Result<(), AuthError> {
         let from: IpAddr = from.parse().expect("an address");
-        let (elements, asked) = examiner.ask(&account.username);
-        let answer = account.answer(&elements).unwrap_or_default();
-        examiner.check(from, &asked, &answer, now)
+        let (elements, asked) = examiner.challenge(&account.username);
+        let answer = account.respond(&elements).unwrap_or_default();
+        examiner.verify(from, &asked, &answer, now)
     }
 
-    fn examiner() -> Examiner {
-        Examiner::new(Users::parse(USERS).expect("good"), [3; 32])
+    fn examiner() -> Authenticator {
+        Authenticator::new(Users::parse(USERS).expect("good"), [3; 32])
     }
 
     /// RFC 1321's digest over challenge and secret, by hand: MD5("12345678wort").
@@ -318,34 +323,34 @@
     fn who_knows_the_secret_is_let_in_and_plain_text_only_where_it_is_allowed() {
         let (mut examiner, now) = (examiner(), Time(1_000_000));
         assert_eq!(tries(&mut examiner, "10.0.0.1", &account("desk", "wort", false), now), Ok(()));
-        let wrong = Err(AuthError::Wrong);
+        let wrong = Err(AuthError::WrongCredentials);
         assert_eq!(tries(&mut examiner, "10.0.0.1", &account("desk", "Wort", false), now), wrong);
         assert_eq!(tries(&mut examiner, "10.0.1.1", &account("nobody", "wort", false), now), wrong);
         for (name, secret, right) in [("old", "geheim", true), ("desk", "wort", false)] {
-            let (_, asked) = examiner.ask(name);
+            let (_, asked) = examiner.challenge(name);
             let plain = Elements::default().with(ie::PASSWORD, secret.as_bytes());
             let from = "10.0.2.1".parse().expect("an address");
-            assert_eq!(examiner.check(from, &asked, &plain, now).is_ok(), right, "{name}");
+            assert_eq!(examiner.verify(from, &asked, &plain, now).is_ok(), right, "{name}");
         }
-        // Asked for plain text alone, only who was told to sends it.
+        // IssuedChallenge for plain text alone, only who was told to sends it.
         let plain_only = Elements::default().with(ie::AUTHMETHODS, &[0, 1]);
-        assert_eq!(account("a", "b", false).answer(&plain_only), None);
-        assert!(account("a", "b", true).answer(&plain_only).is_some());
+        assert_eq!(account("a", "b", false).respond(&plain_only), None);
+        assert!(account("a", "b", true).respond(&plain_only).is_some());
     }
 
     #[test]
     fn an_unknown_user_is_asked_the_same_and_challenges_never_come_twice() {
         let mut examiner = examiner();
-        let ((known, first), (unknown, second)) = (examiner.ask("desk"), examiner.ask("nobody"));
+        let ((known, first), (unknown, second)) = (examiner.challenge("desk"), examiner.challenge("nobody"));
         let shape = |e: &Elements| e.0.iter().map(|(element, _)| *element).collect::<Vec<_>>();
         assert_eq!(shape(&known), shape(&unknown));
         assert_eq!(known.get(ie::AUTHMETHODS), unknown.get(ie::AUTHMETHODS));
         assert_ne!(first.challenge, second.challenge);
         // An answer to another challenge is worth nothing.
-        let answer = account("desk", "wort", false).answer(&known).expect("an answer");
-        let (_, later) = examiner.ask("desk");
+        let answer = account("desk", "wort", false).respond(&known).expect("an answer");
+        let (_, later) = examiner.challenge("desk");
         let from = "10.0.0.1".parse().expect("an address");
-        assert_eq!(examiner.check(from, &later, &answer, Time(1)), Err(AuthError::Wrong));
+        assert_eq!(examiner.verify(from, &later, &answer, Time(1)), Err(AuthError::WrongCredentials));
     }
 
     #[test]
@@ -355,19 +360,19 @@
         assert_eq!(tries(&mut examiner, "10.0.0.1", &right, now), Ok(()));
         for n in 0..5 {
             let from = format!("10.1.{n}.1");
-            assert_eq!(tries(&mut examiner, &from, &wrong, now), Err(AuthError::Wrong));
+            assert_eq!(tries(&mut examiner, &from, &wrong, now), Err(AuthError::WrongCredentials));
         }
         // Guessing at one user from many networks ends, but not for the network that he uses.
-        assert_eq!(tries(&mut examiner, "10.1.9.1", &right, now), Err(AuthError::TooMany));
+        assert_eq!(tries(&mut examiner, "10.1.9.1", &right, now), Err(AuthError::TooManyFailures));
         assert_eq!(tries(&mut examiner, "10.0.0.7", &right, now), Ok(()));
         for n in 0..5 {
             let unknown = account(&format!("u{n}"), "x", false);
-            assert_eq!(tries(&mut examiner, "10.2.0.1", &unknown, now), Err(AuthError::Wrong));
+            assert_eq!(tries(&mut examiner, "10.2.0.1", &unknown, now), Err(AuthError::WrongCredentials));
         }
         // One network that guesses at many users is shut out whatever it says.
         assert_eq!(
             tries(&mut examiner, "10.2.0.9", &account("old", "geheim", false), now),
-            Err(AuthError::TooMany)
+            Err(AuthError::TooManyFailures)
         );
         let later = now.plus(Span::from_millis(13_000));
         assert_eq!(tries(&mut examiner, "10.2.0.9", &account("old", "geheim", false), later), Ok(()));
--- a/src/iax2/bounds.rs
+++ b/src/iax2/bounds.rs
@@ -31,7 +31,7 @@
 
 /// A bound that was met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Met {
+pub enum LimitReached {
     /// `total`.
     Total,
     /// `address`.
@@ -42,7 +42,7 @@
 
 /// What was begun, counted by address and network.
 #[derive(Debug, Default)]
-pub struct Begun {
+pub struct IncomingLegCounts {
     by_address: BTreeMap<IpAddr, usize>,
     by_network: BTreeMap<IpAddr, usize>,
     total: usize,
@@ -64,19 +64,19 @@
     masked(ip, NETWORK_V4, NETWORK_V6)
 }
 
-impl Begun {
+impl IncomingLegCounts {
     /// One more from this address, if the bounds allow it.
-    pub fn begin(&mut self, from: IpAddr, bounds: &Bounds) -> Result<(), Met> {
+    pub fn begin(&mut self, from: IpAddr, bounds: &Bounds) -> Result<(), LimitReached> {
         let (address, network) = (address_of(from), network_of(from));
         let count = |counts: &BTreeMap<IpAddr, usize>, of| counts.get(&of).copied().unwrap_or(0);
         if self.total >= bounds.total {
-            return Err(Met::Total);
+            return Err(LimitReached::Total);
         }
         if count(&self.by_address, address) >= bounds.address {
-            return Err(Met::Address);
+            return Err(LimitReached::Address);
         }
         if count(&self.by_network, network) >= bounds.network {
-            return Err(Met::Network);
+            return Err(LimitReached::Network);
         }
         *self.by_address.entry(address).or_default() += 1;
         *self.by_network.entry(network).or_default() += 1;
@@ -116,25 +116,25 @@
     #[test]
     fn each_bound_holds_by_itself_and_room_comes_back() {
         let bounds = Bounds { total: 10, address: 2, network: 3 };
-        let mut begun = Begun::default();
+        let mut begun = IncomingLegCounts::default();
         let mut taken = Vec::new();
         for (from, met) in [
             ("10.0.0.1", None),
             ("10.0.0.1", None),
-            ("10.0.0.1", Some(Met::Address)),
-            ("::ffff:10.0.0.1", Some(Met::Address)),
+            ("10.0.0.1", Some(LimitReached::Address)),
+            ("::ffff:10.0.0.1", Some(LimitReached::Address)),
             ("10.0.0.2", None),
-            ("10.0.0.3", Some(Met::Network)),
+            ("10.0.0.3", Some(LimitReached::Network)),
             ("10.0.1.1", None),
             ("2001:db8:0:1::1", None),
             ("2001:db8:0:1::2", None),
-            ("2001:db8:0:1:ffff::", Some(Met::Address)),
+            ("2001:db8:0:1:ffff::", Some(LimitReached::Address)),
             ("2001:db8:0:2::", None),
-            ("2001:db8:0:3::", Some(Met::Network)),
+            ("2001:db8:0:3::", Some(LimitReached::Network)),
             ("10.0.2.1", None),
             ("10.0.3.1", None),
             ("10.0.4.1", None),
-            ("10.0.5.1", Some(Met::Total)),
+            ("10.0.5.1", Some(LimitReached::Total)),
         ] {
             assert_eq!(begun.begin(ip(from), &bounds).err(), met, "{from}");
             taken.extend(met.is_none().then(|| ip(from)));
--- a/src/iax2/describe.rs
+++ b/src/iax2/describe.rs
@@ -6,7 +6,7 @@
 const ULAW: u32 = 0x0000_0004;
 
 /// The description of a leg that came in: the one that it carries, else its formats put as text.
-pub fn description_in(elements: &Elements) -> String {
+pub fn description_of(elements: &Elements) -> String {
     if let Some(text) = elements.variable("desc") {
         return text;
     }
@@ -16,7 +16,7 @@
 }
 
 /// Puts a description on a leg that goes out: as formats where it was made of some, else in full.
-pub fn describe(elements: Elements, body: &str) -> Elements {
+pub fn add_description(elements: Elements, body: &str) -> Elements {
     let formats = formats_in(body);
     let (capability, format) = formats.unwrap_or((ULAW, ULAW));
     let elements =
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -3,9 +3,9 @@
 use thiserror::Error;
 
 /// A call number takes 15 bits.
-pub const MOST_NUMBER: u16 = 0x7fff;
+pub const MAX_CALL_NUMBER: u16 = 0x7fff;
 /// The longest datagram taken or sent.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 /// The F bit of a full frame, and where other frames have a bit of their own.
 const FULL: u16 = 0x8000;
 /// The meta command of a trunk.
@@ -166,7 +166,7 @@
     }
 
     /// Whether it takes a sequence number of its own (RFC 5456, 7.1: these do not).
-    pub fn counts(self) -> bool {
+    pub fn takes_sequence_number(self) -> bool {
         use Iax::{Ack, CallToken, Inval, TxAcc, TxCnt, Vnak};
         !matches!(self, Kind::Iax(Ack | Inval | Vnak | TxCnt | TxAcc | CallToken))
     }
@@ -180,7 +180,7 @@
 
 /// What an UNSUPPORT says to an IAX control frame on a leg; none where nothing is to be said: those that belong to every
 /// leg are dealt with before, and answers to what was never asked are passed over (RFC 5456, 6.9.4).
-pub fn unsupported(iax: Iax) -> Option<Elements> {
+pub fn unsupport_reply(iax: Iax) -> Option<Elements> {
     use Iax::{Accept, Ack, AuthReq, Hangup, Inval, LagRp, New, Pong, Reject, Unsupport, Vnak};
     let answers = matches!(
         iax,
@@ -377,7 +377,7 @@
     /// The receiver's call number; 0 if not yet known.
     pub dest: u16,
     /// Whether it was sent before.
-    pub again: bool,
+    pub retransmitted: bool,
     /// Milliseconds of the sender's leg.
     pub timestamp: u32,
     /// The frame's own sequence number.
@@ -398,7 +398,7 @@
     /// The sender's call number.
     pub source: u16,
     /// The low half of the sender's time, where the trunk carries one for each call.
-    pub stamp: Option<u16>,
+    pub timestamp: Option<u16>,
     /// Sound, in the format that the call's last full voice frame named.
     pub data: Vec<u8>,
 }
@@ -413,7 +413,7 @@
         /// The sender's call number.
         source: u16,
         /// The low 16 bits of milliseconds of the sender's leg.
-        stamp: u16,
+        timestamp: u16,
         /// Sound, in the format that the call's last full voice frame named.
         data: Vec<u8>,
     },
@@ -424,14 +424,14 @@
         /// The mark that ends a picture.
         mark: bool,
         /// The low 15 bits of milliseconds of the sender's leg.
-        stamp: u16,
+        timestamp: u16,
         /// Pictures, in the format that the call's last full video frame named.
         data: Vec<u8>,
     },
     /// A meta trunk frame (8.1.3.2).
     Trunk {
         /// Milliseconds of the trunk.
-        stamp: u32,
+        timestamp: u32,
         /// The calls.
         entries: Vec<TrunkEntry>,
     },
@@ -442,45 +442,45 @@
 pub enum FrameError {
     /// Too few bytes for its header.
     #[error("a frame of {0} bytes is cut short")]
-    Short(usize),
+    TooShort(usize),
     /// Too many bytes.
     #[error("a frame of {0} bytes is too long")]
-    Long(usize),
+    TooLong(usize),
     /// An information element runs past the end.
     #[error("information element {0:#04x} runs past the end")]
-    Element(u8),
+    TruncatedElement(u8),
     /// A frame needs a call number.
     #[error("a frame without a call number")]
-    NoNumber,
+    NoCallNumber,
     /// A meta frame whose command is not the RFC's.
     #[error("meta command {0:#04x} is not known")]
-    Meta(u8),
+    UnknownMetaCommand(u8),
 }
 
 /// Reads a datagram.
 pub fn parse(bytes: &[u8]) -> Result<Datagram, FrameError> {
     if bytes.len() < 4 {
-        return Err(FrameError::Short(bytes.len()));
+        return Err(FrameError::TooShort(bytes.len()));
     }
-    if bytes.len() > LONGEST {
-        return Err(FrameError::Long(bytes.len()));
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(FrameError::TooLong(bytes.len()));
     }
     let word = |at: usize| u16::from_be_bytes([bytes[at], bytes[at + 1]]);
     match word(0) {
         0 => return meta(bytes),
         source if source & FULL == 0 => {
-            return Ok(Datagram::Mini { source, stamp: word(2), data: bytes[4..].to_vec() });
+            return Ok(Datagram::Mini { source, timestamp: word(2), data: bytes[4..].to_vec() });
         }
         _ => {}
     }
     if bytes.len() < HEADER {
-        return Err(FrameError::Short(bytes.len()));
+        return Err(FrameError::TooShort(bytes.len()));
     }
-    let source = word(0) & MOST_NUMBER;
+    let source = word(0) & MAX_CALL_NUMBER;
     // Who does not know a call whose number was not yet told has no number of its own to give: an INVAL to the HANGUP of
     // a lost NEW comes without one (RFC 5456, 6.9.2).
     if source == 0 && bytes[10..12] != [6, Iax::Inval.code()] {
-        return Err(FrameError::NoNumber);
+        return Err(FrameError::NoCallNumber);
     }
     let kind = Kind::of(bytes[10], bytes[11]);
     let rest = &bytes[HEADER..];
@@ -491,8 +491,8 @@
     };
     Ok(Datagram::Full(Frame {
         source,
-        dest: word(2) & MOST_NUMBER,
-        again: word(2) & FULL != 0,
+        dest: word(2) & MAX_CALL_NUMBER,
+        retransmitted: word(2) & FULL != 0,
         timestamp: u32::from_be_bytes([bytes[4], bytes[5], bytes[6], bytes[7]]),
         oseq: bytes[8],
         iseq: bytes[9],
@@ -504,41 +504,41 @@
 
 /// Reads a meta frame.
 fn meta(bytes: &[u8]) -> Result<Datagram, FrameError> {
-    let short = || FrameError::Short(bytes.len());
+    let short = || FrameError::TooShort(bytes.len());
     let word = |at: usize| Some(u16::from_be_bytes([*bytes.get(at)?, *bytes.get(at + 1)?]));
     let second = word(2).ok_or_else(short)?;
     if second & FULL != 0 {
-        let (source, time) = (second & MOST_NUMBER, word(4).ok_or_else(short)?);
+        let (source, time) = (second & MAX_CALL_NUMBER, word(4).ok_or_else(short)?);
         if source == 0 {
-            return Err(FrameError::NoNumber);
+            return Err(FrameError::NoCallNumber);
         }
-        let (mark, stamp) = (time & FULL != 0, time & !FULL);
-        return Ok(Datagram::Video { source, mark, stamp, data: bytes[6..].to_vec() });
+        let (mark, timestamp) = (time & FULL != 0, time & !FULL);
+        return Ok(Datagram::Video { source, mark, timestamp, data: bytes[6..].to_vec() });
     }
     let timed = match bytes[2..4] {
         [TRUNK, 0] => false,
         [TRUNK, 1] => true,
-        [TRUNK, other] | [other, _] => return Err(FrameError::Meta(other)),
+        [TRUNK, other] | [other, _] => return Err(FrameError::UnknownMetaCommand(other)),
         _ => return Err(short()),
     };
-    let stamp = bytes.get(4..8).and_then(|four| four.try_into().ok()).map(u32::from_be_bytes);
-    let stamp = stamp.ok_or_else(short)?;
+    let timestamp = bytes.get(4..8).and_then(|four| four.try_into().ok()).map(u32::from_be_bytes);
+    let timestamp = timestamp.ok_or_else(short)?;
     let (mut entries, mut at) = (Vec::new(), 8);
     while at < bytes.len() {
         let head = if timed { 6 } else { 4 };
         let (first, second) = (word(at).ok_or_else(short)?, word(at + 2).ok_or_else(short)?);
         let (length, source) = if timed { (first, second) } else { (second, first) };
-        let stamp = if timed { Some(word(at + 4).ok_or_else(short)?) } else { None };
+        let timestamp = if timed { Some(word(at + 4).ok_or_else(short)?) } else { None };
         let end = at + head + usize::from(length);
         let data = bytes.get(at + head..end).ok_or_else(short)?.to_vec();
-        let source = source & MOST_NUMBER;
+        let source = source & MAX_CALL_NUMBER;
         if source == 0 {
-            return Err(FrameError::NoNumber);
+            return Err(FrameError::NoCallNumber);
         }
-        entries.push(TrunkEntry { source, stamp, data });
+        entries.push(TrunkEntry { source, timestamp, data });
         at = end;
     }
-    Ok(Datagram::Trunk { stamp, entries })
+    Ok(Datagram::Trunk { timestamp, entries })
 }
 
 impl Datagram {
@@ -547,28 +547,28 @@
         let mut bytes = Vec::new();
         match self {
             Datagram::Full(frame) => return frame.bytes(),
-            Datagram::Mini { source, stamp, data } => {
-                bytes.extend((source & MOST_NUMBER).to_be_bytes());
-                bytes.extend(stamp.to_be_bytes());
+            Datagram::Mini { source, timestamp, data } => {
+                bytes.extend((source & MAX_CALL_NUMBER).to_be_bytes());
+                bytes.extend(timestamp.to_be_bytes());
                 bytes.extend(data);
             }
-            Datagram::Video { source, mark, stamp, data } => {
+            Datagram::Video { source, mark, timestamp, data } => {
                 bytes.extend([0, 0]);
                 bytes.extend((source | FULL).to_be_bytes());
-                bytes.extend(((stamp & !FULL) | if *mark { FULL } else { 0 }).to_be_bytes());
+                bytes.extend(((timestamp & !FULL) | if *mark { FULL } else { 0 }).to_be_bytes());
                 bytes.extend(data);
             }
-            Datagram::Trunk { stamp, entries } => {
-                let timed = entries.first().is_some_and(|entry| entry.stamp.is_some());
+            Datagram::Trunk { timestamp, entries } => {
+                let timed = entries.first().is_some_and(|entry| entry.timestamp.is_some());
                 bytes.extend([0, 0, TRUNK, u8::from(timed)]);
-                bytes.extend(stamp.to_be_bytes());
-                for TrunkEntry { source, stamp, data } in entries {
+                bytes.extend(timestamp.to_be_bytes());
+                for TrunkEntry { source, timestamp, data } in entries {
                     let length = u16::try_from(data.len()).unwrap_or(u16::MAX);
-                    let (source, length) = ((source & MOST_NUMBER).to_be_bytes(), length.to_be_bytes());
+                    let (source, length) = ((source & MAX_CALL_NUMBER).to_be_bytes(), length.to_be_bytes());
                     if timed {
                         bytes.extend(length);
                         bytes.extend(source);
-                        bytes.extend(stamp.unwrap_or(0).to_be_bytes());
+                        bytes.extend(timestamp.unwrap_or(0).to_be_bytes());
                     } else {
                         bytes.extend(source);
                         bytes.extend(length);
@@ -583,7 +583,7 @@
 
 /// A sender's whole time from its low bits, by the last whole time that was seen: the one that is nearest. Frames may
 /// come out of order across the wrap. `bits`: 16 for mini frames, 15 for meta video.
-pub fn whole_time(last: u32, low: u16, bits: u32) -> u32 {
+pub fn full_timestamp(last: u32, low: u16, bits: u32) -> u32 {
     let span = 1_u32 << bits;
     let ahead = u32::from(low).wrapping_sub(last) & (span - 1);
     // Up to half a span ahead is later; the rest is earlier.
@@ -597,8 +597,8 @@
 fn elements(mut bytes: &[u8]) -> Result<Elements, FrameError> {
     let mut elements = Elements::default();
     while let [element, rest @ ..] = bytes {
-        let [length, rest @ ..] = rest else { return Err(FrameError::Element(*element)) };
-        let value = rest.get(..usize::from(*length)).ok_or(FrameError::Element(*element))?;
+        let [length, rest @ ..] = rest else { return Err(FrameError::TruncatedElement(*element)) };
+        let value = rest.get(..usize::from(*length)).ok_or(FrameError::TruncatedElement(*element))?;
         elements.0.push((*element, value.to_vec()));
         bytes = &rest[usize::from(*length)..];
     }
@@ -611,7 +611,7 @@
         let (kind, subclass) = self.kind.codes();
         let mut bytes = Vec::with_capacity(HEADER + 64);
         bytes.extend((self.source | 0x8000).to_be_bytes());
-        bytes.extend((self.dest | if self.again { 0x8000 } else { 0 }).to_be_bytes());
+        bytes.extend((self.dest | if self.retransmitted { 0x8000 } else { 0 }).to_be_bytes());
         bytes.extend(self.timestamp.to_be_bytes());
         bytes.extend([self.oseq, self.iseq, kind, subclass]);
         for (element, value) in &self.elements.0 {
@@ -628,7 +628,7 @@
         Frame {
             source: self.dest,
             dest: self.source,
-            again: false,
+            retransmitted: false,
             timestamp: self.timestamp,
             oseq: self.iseq,
             iseq: self.oseq.wrapping_add(1),
--- a/src/iax2/leg.rs
+++ b/src/iax2/leg.rs
@@ -31,13 +31,13 @@
 
 /// What a frame means to its leg.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Got {
+pub enum FrameOutcome {
     /// The next in turn: it is to be acted on, once.
-    Next,
+    Deliver,
     /// Seen before, ahead of its turn, or about the exchange itself: nothing to act on.
-    Nothing,
+    Consumed,
     /// The other side does not know the call.
-    Unknown,
+    UnknownCall,
 }
 
 /// One leg of a call.
@@ -98,7 +98,7 @@
 
     fn frame(&self, timestamp: u32, kind: Kind, elements: Elements) -> Frame {
         let Leg { local: source, remote: dest, oseq, iseq, .. } = *self;
-        Frame { source, dest, again: false, timestamp, oseq, iseq, kind, elements, data: Vec::new() }
+        Frame { source, dest, retransmitted: false, timestamp, oseq, iseq, kind, elements, data: Vec::new() }
     }
 
     /// Sends what takes no sequence number.
@@ -107,30 +107,30 @@
     }
 
     /// Takes a frame: books what it acknowledges, answers what concerns the exchange itself.
-    pub fn receive(&mut self, frame: &Frame, now: Time, out: &mut Vec<Vec<u8>>) -> Got {
+    pub fn receive(&mut self, frame: &Frame, now: Time, out: &mut Vec<Vec<u8>>) -> FrameOutcome {
         self.heard = now;
         if self.remote == 0 {
             self.remote = frame.source;
         }
         self.acknowledged(frame.iseq, now);
         match frame.kind {
-            Kind::Iax(Iax::Ack) => return Got::Nothing,
-            Kind::Iax(Iax::Inval) => return Got::Unknown,
+            Kind::Iax(Iax::Ack) => return FrameOutcome::Consumed,
+            Kind::Iax(Iax::Inval) => return FrameOutcome::UnknownCall,
             Kind::Iax(Iax::Vnak) => {
                 self.resend(now, out);
-                return Got::Nothing;
+                return FrameOutcome::Consumed;
             }
             _ => {}
         }
         let ahead = frame.oseq.wrapping_sub(self.iseq) as i8;
         if ahead > 0 {
             self.say(Iax::Vnak, frame.timestamp, out);
-            return Got::Nothing;
+            return FrameOutcome::Consumed;
         }
         if ahead < 0 {
             // A retransmission: our acknowledgement was lost. It is no new event.
             self.say(Iax::Ack, frame.timestamp, out);
-            return Got::Nothing;
+            return FrameOutcome::Consumed;
         }
         self.iseq = self.iseq.wrapping_add(1);
         match frame.kind {
@@ -138,18 +138,18 @@
             Kind::Iax(Iax::LagRq) => self.echo(Iax::LagRp, frame, now, out),
             Kind::Iax(Iax::Pong | Iax::LagRp) => {
                 self.say(Iax::Ack, frame.timestamp, out);
-                Got::Nothing
+                FrameOutcome::Consumed
             }
             _ => {
                 self.say(Iax::Ack, frame.timestamp, out);
-                Got::Next
+                FrameOutcome::Deliver
             }
         }
     }
 
-    fn echo(&mut self, iax: Iax, frame: &Frame, now: Time, out: &mut Vec<Vec<u8>>) -> Got {
+    fn echo(&mut self, iax: Iax, frame: &Frame, now: Time, out: &mut Vec<Vec<u8>>) -> FrameOutcome {
         self.send_at(frame.timestamp, Kind::Iax(iax), Elements::default(), now, out);
-        Got::Nothing
+        FrameOutcome::Consumed
     }
 
     /// All frames ahead of `iseq` have arrived. One that we never sent acknowledges nothing.
@@ -162,7 +162,7 @@
                 break;
             }
             // Of one that was sent again nobody knows which copy was heard (RFC 6298, 3: Karn's rule).
-            if !sent.frame.again {
+            if !sent.frame.retransmitted {
                 self.took = Some(now.since(sent.first));
             }
             self.unacked.pop_front();
@@ -172,21 +172,21 @@
     fn resend(&mut self, now: Time, out: &mut Vec<Vec<u8>>) {
         let (iseq, dest) = (self.iseq, self.remote);
         for sent in &mut self.unacked {
-            (sent.frame.again, sent.frame.iseq, sent.frame.dest) = (true, iseq, dest);
+            (sent.frame.retransmitted, sent.frame.iseq, sent.frame.dest) = (true, iseq, dest);
             sent.next = now.plus(sent.gap);
             out.push(sent.frame.bytes());
         }
     }
 
     /// Sends again what is overdue. `false`: the other side is silent.
-    pub fn due(&mut self, now: Time, out: &mut Vec<Vec<u8>>) -> bool {
+    pub fn run_timers(&mut self, now: Time, out: &mut Vec<Vec<u8>>) -> bool {
         let (iseq, dest) = (self.iseq, self.remote);
         for sent in &mut self.unacked {
             if now.since(sent.first) >= SILENT_AFTER {
                 return false;
             }
             if sent.next <= now {
-                (sent.frame.again, sent.frame.iseq, sent.frame.dest) = (true, iseq, dest);
+                (sent.frame.retransmitted, sent.frame.iseq, sent.frame.dest) = (true, iseq, dest);
                 sent.copies += 1;
                 sent.gap = next_gap(sent.first_gap, sent.gap);
                 let silent_at = sent.first.plus(SILENT_AFTER);
@@ -205,13 +205,13 @@
         let Some(sent) = self.unacked.front_mut().filter(begins) else { return };
         sent.frame.elements.0.retain(|(element, _)| *element != ie::CALLTOKEN);
         sent.frame.elements.0.push((ie::CALLTOKEN, token.to_vec()));
-        sent.frame.again = false;
+        sent.frame.retransmitted = false;
         (sent.first, sent.next, sent.gap, sent.copies) = (now, now.plus(sent.first_gap), sent.first_gap, 0);
         out.push(sent.frame.bytes());
     }
 
     /// When `due` has something to do.
-    pub fn next_due(&self) -> Option<Time> {
+    pub fn next_deadline(&self) -> Option<Time> {
         self.unacked.iter().map(|sent| sent.next).min()
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Sends nothing again of what was sent so far.
-    pub fn forget_sent(&mut self) {
+    pub fn cancel_retransmissions(&mut self) {
         self.unacked.clear();
     }
 }
--- a/src/iax2/legs.rs
+++ b/src/iax2/legs.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::iax2::bounds::{Begun, Bounds};
-use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind, MOST_NUMBER};
-use crate::iax2::leg::{Got, Leg};
+use crate::iax2::bounds::{Bounds, IncomingLegCounts};
+use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind, MAX_CALL_NUMBER};
+use crate::iax2::leg::{FrameOutcome, Leg};
 use crate::iax2::round_trip::RoundTrips;
 use crate::interface::{Span, Time};
 
@@ -23,7 +23,7 @@
 
 /// What is told of a leg.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told<T> {
+pub enum LegEvent<T> {
     /// A frame to be acted on.
     Frame(u16, Frame),
     /// The other side is silent or does not know the call; the leg is gone.
@@ -53,7 +53,7 @@
     entries: BTreeMap<u16, Entry<T>>,
     by_peer: BTreeMap<(SocketAddr, u16), u16>,
     /// Legs that were begun from elsewhere, and how many may be.
-    begun: Begun,
+    begun: IncomingLegCounts,
     bounds: Bounds,
     round_trips: RoundTrips,
     last: u16,
@@ -64,7 +64,7 @@
         Self {
             entries: BTreeMap::new(),
             by_peer: BTreeMap::new(),
-            begun: Begun::default(),
+            begun: IncomingLegCounts::default(),
             bounds: Bounds::default(),
             round_trips: RoundTrips::default(),
             last: 0,
@@ -83,8 +83,8 @@
             return None;
         }
         // Round and round, so that a number rests for as long as it can.
-        for _ in 0..MOST_NUMBER {
-            self.last = if self.last >= MOST_NUMBER { 1 } else { self.last + 1 };
+        for _ in 0..MAX_CALL_NUMBER {
+            self.last = if self.last >= MAX_CALL_NUMBER { 1 } else { self.last + 1 };
             if !self.entries.contains_key(&self.last) {
                 return Some(self.last);
             }
@@ -93,7 +93,7 @@
     }
 
     /// Begins a leg towards `peer`; `None` if no number is free.
-    pub fn call(&mut self, peer: SocketAddr, of: T, now: Time) -> Option<u16> {
+    pub fn open_outgoing(&mut self, peer: SocketAddr, of: T, now: Time) -> Option<u16> {
         let local = self.free_number()?;
         let leg = Leg::new(local, 0, peer, self.round_trips.first_gap(peer.ip()), now);
         let entry = Entry { leg, of: Some(of), pings: false, rests_until: None, new_stamp: None, tokens: 0 };
@@ -102,7 +102,7 @@
     }
 
     /// Begins a leg that a NEW asks for, and acknowledges it; `None` if its address has too many or no number is free.
-    pub fn answer(
+    pub fn open_incoming(
         &mut self,
         peer: SocketAddr,
         new: &Frame,
@@ -135,7 +135,7 @@
     }
 
     /// The call of a leg stands: the other side's silence matters from now on.
-    pub fn stands(&mut self, no: u16) {
+    pub fn mark_established(&mut self, no: u16) {
         if let Some(entry) = self.entries.get_mut(&no) {
             entry.pings = true;
         }
@@ -151,9 +151,9 @@
     }
 
     /// Sends nothing again of what a leg has sent so far.
-    pub fn forget_sent(&mut self, no: u16) {
+    pub fn cancel_retransmissions(&mut self, no: u16) {
         if let Some(entry) = self.entries.get_mut(&no) {
-            entry.leg.forget_sent();
+            entry.leg.cancel_retransmissions();
         }
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Whether the other side has spoken on a leg since then.
-    pub fn heard_since(&self, no: u16, since: Time) -> bool {
+    pub fn received_since(&self, no: u16, since: Time) -> bool {
         self.entries.get(&no).is_some_and(|entry| entry.leg.remote != 0 && entry.leg.heard >= since)
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// What a leg is for.
-    pub fn of(&self, no: u16) -> Option<&T> {
+    pub fn owner(&self, no: u16) -> Option<&T> {
         self.entries.get(&no)?.of.as_ref()
     }
 
@@ -194,7 +194,7 @@
         frame: &Frame,
         now: Time,
         out: &mut Vec<Outgoing>,
-    ) -> Option<Told<T>> {
+    ) -> Option<LegEvent<T>> {
         if frame.kind == Kind::Iax(Iax::Poke) {
             // It belongs to no call, whatever number its sender put on it.
             let mut pong = frame.inval();
@@ -215,9 +215,9 @@
             .filter(|(_, e)| e.leg.peer == peer && (e.leg.remote == 0 || e.leg.remote == frame.source));
         let Some((no, entry)) = known else {
             if is_new {
-                return Some(Told::New(frame.clone()));
+                return Some(LegEvent::New(frame.clone()));
             }
-            if frame.kind.counts() {
+            if frame.kind.takes_sequence_number() {
                 out.push((peer, frame.inval().bytes()));
             }
             return None;
@@ -225,7 +225,7 @@
         // The other side uses its number again for a call of its own; a mere retransmission bears the old time.
         if is_new && entry.rests_until.is_some() && entry.new_stamp != Some(frame.timestamp) {
             self.remove(no);
-            return Some(Told::New(frame.clone()));
+            return Some(LegEvent::New(frame.clone()));
         }
         let entry = self.entries.get_mut(&no)?;
         let mut bytes = Vec::new();
@@ -236,13 +236,13 @@
             entry.leg.first_gap = self.round_trips.first_gap(peer.ip());
         }
         match got {
-            Got::Next if entry.of.is_some() => Some(Told::Frame(no, frame.clone())),
-            Got::Next | Got::Nothing => None,
-            Got::Unknown => {
-                entry.leg.forget_sent();
+            FrameOutcome::Deliver if entry.of.is_some() => Some(LegEvent::Frame(no, frame.clone())),
+            FrameOutcome::Deliver | FrameOutcome::Consumed => None,
+            FrameOutcome::UnknownCall => {
+                entry.leg.cancel_retransmissions();
                 let of = entry.of.clone();
                 self.end(no, now);
-                of.map(Told::Lost)
+                of.map(LegEvent::Lost)
             }
         }
     }
@@ -262,22 +262,22 @@
     }
 
     /// Does what is due on a leg.
-    pub fn due(&mut self, no: u16, now: Time, out: &mut Vec<Outgoing>) -> Option<Told<T>> {
+    pub fn run_timers(&mut self, no: u16, now: Time, out: &mut Vec<Outgoing>) -> Option<LegEvent<T>> {
         let entry = self.entries.get_mut(&no)?;
         let mut bytes = Vec::new();
         if entry.pings && entry.leg.all_acked() && now.since(entry.leg.heard) >= PING_AFTER {
             entry.leg.send(Kind::Iax(Iax::Ping), Elements::default(), now, &mut bytes);
         }
-        let speaks = entry.leg.due(now, &mut bytes);
+        let speaks = entry.leg.run_timers(now, &mut bytes);
         let peer = entry.leg.peer;
         out.extend(bytes.into_iter().map(|b| (peer, b)));
         if !speaks {
-            entry.leg.forget_sent();
+            entry.leg.cancel_retransmissions();
             let of = entry.of.clone();
             if of.is_some() {
                 self.end(no, now);
             }
-            return of.map(Told::Lost);
+            return of.map(LegEvent::Lost);
         }
         if entry.rests_until.is_some_and(|until| now >= until && entry.leg.all_acked()) {
             self.remove(no);
@@ -286,11 +286,11 @@
     }
 
     /// When `due` has something to do on a leg.
-    pub fn next_due(&self, no: u16) -> Option<Time> {
+    pub fn next_deadline(&self, no: u16) -> Option<Time> {
         let entry = self.entries.get(&no)?;
         let ping = entry.pings.then(|| entry.leg.heard.plus(PING_AFTER));
         let ping = ping.filter(|_| entry.leg.all_acked());
-        [entry.leg.next_due(), ping, entry.rests_until].into_iter().flatten().min()
+        [entry.leg.next_deadline(), ping, entry.rests_until].into_iter().flatten().min()
     }
 
     fn remove(&mut self, no: u16) {
@@ -314,8 +314,8 @@
     fn new(source: u16) -> Frame {
         let elements = Elements::default();
         let kind = Kind::Iax(Iax::New);
-        let (again, timestamp, data) = (false, 1, Vec::new());
-        Frame { source, dest: 0, again, timestamp, oseq: 0, iseq: 0, kind, elements, data }
+        let (retransmitted, timestamp, data) = (false, 1, Vec::new());
+        Frame { source, dest: 0, retransmitted, timestamp, oseq: 0, iseq: 0, kind, elements, data }
     }
 
     /// Guards against a HANGUP that is said again for seconds to a peer who never heard of its call.
@@ -323,7 +323,7 @@
     fn a_hangup_whose_new_was_lost_ends_with_the_peer_s_inval() {
         let (mut legs, mut out): (Legs<u16>, _) = (Legs::default(), Vec::new());
         let (peer, now) = (SocketAddr::from(([127, 0, 0, 1], 4_569)), Time(1_000_000));
-        let no = legs.call(peer, 7, now).expect("a number");
+        let no = legs.open_outgoing(peer, 7, now).expect("a number");
         legs.send(no, Kind::Iax(Iax::Hangup), Elements::default(), now, &mut out);
         legs.end(no, now);
         let Ok(Datagram::Full(hangup)) = parse(&out[0].1) else { panic!("{out:?}") };
@@ -343,14 +343,14 @@
         let (now, mut out) = (Time(1_000_000), Vec::new());
         let mut begun = Vec::new();
         for n in 0..1_024_u16 {
-            begun.extend(legs.answer(peer(1, 1_000 + n % 7), &new(n + 1), n, now, &mut out));
+            begun.extend(legs.open_incoming(peer(1, 1_000 + n % 7), &new(n + 1), n, now, &mut out));
         }
         assert_eq!(begun.len(), 1_024);
-        assert!(legs.answer(peer(1, 9), &new(7), 0, now, &mut out).is_none());
-        assert!(legs.answer(peer(2, 9), &new(7), 0, now, &mut out).is_some());
+        assert!(legs.open_incoming(peer(1, 9), &new(7), 0, now, &mut out).is_none());
+        assert!(legs.open_incoming(peer(2, 9), &new(7), 0, now, &mut out).is_some());
         for no in begun {
             legs.end(no, now);
-            legs.due(no, now.plus(REST), &mut out);
+            legs.run_timers(no, now.plus(REST), &mut out);
         }
         assert_eq!((legs.entries.len(), legs.by_peer.len()), (1, 1));
     }
--- a/src/iax2/registrant.rs
+++ b/src/iax2/registrant.rs
@@ -15,7 +15,7 @@
 /// An answer must have come within this.
 const ANSWERS_WITHIN: Span = Span::from_millis(8_000);
 /// What is asked for, in seconds.
-pub const ASKED_SECS: u16 = 60;
+pub const REQUESTED_REFRESH_SECS: u16 = 60;
 /// Registered anew after a share of the granted time between these.
 const RENEWED: (f64, f64) = (0.5, 0.8);
 
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone)]
 pub struct Registrant {
     /// Where the registrar is.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     state: State,
     failures: u32,
     /// Until when we are registered.
@@ -42,42 +42,42 @@
 
 /// What falls due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Due {
+pub enum RegistrantAction {
     /// Nothing yet.
-    Nothing,
+    Wait,
     /// Ask now.
-    Ask,
+    SendRequest,
     /// What was asked is not answered: given up, and asked again later.
     GiveUp,
 }
 
 impl Registrant {
     /// One that asks within a second of `now`. `seed`: where its jitter comes from.
-    pub fn new(at: SocketAddr, now: Time, seed: u64) -> Registrant {
+    pub fn new(address: SocketAddr, now: Time, seed: u64) -> Registrant {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let first = now.plus(FIRST_GAP.share(chance(&mut rng)));
-        Registrant { at, state: State::Waits(first), failures: 0, until: None, rng }
+        Registrant { address, state: State::Waits(first), failures: 0, until: None, rng }
     }
 
     /// When `due` has something to say.
-    pub fn next_at(&self) -> Time {
+    pub fn next_deadline(&self) -> Time {
         match self.state {
             State::Waits(at) | State::Asked(at) => at,
         }
     }
 
     /// What is due. After `Ask` an answer is waited for.
-    pub fn due(&mut self, now: Time) -> Due {
+    pub fn run_timer(&mut self, now: Time) -> RegistrantAction {
         match self.state {
             State::Waits(at) if now >= at => {
                 self.state = State::Asked(now.plus(ANSWERS_WITHIN));
-                Due::Ask
+                RegistrantAction::SendRequest
             }
             State::Asked(at) if now >= at => {
                 self.failed(now);
-                Due::GiveUp
+                RegistrantAction::GiveUp
             }
-            State::Waits(_) | State::Asked(_) => Due::Nothing,
+            State::Waits(_) | State::Asked(_) => RegistrantAction::Wait,
         }
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Whether we are registered there.
-    pub fn registered(&self, now: Time) -> bool {
+    pub fn is_registered(&self, now: Time) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 }
@@ -125,11 +125,18 @@
     fn it_renews_before_its_time_is_over() {
         for seed in 0..200 {
             let mut registrant = registrant(seed);
-            let first = registrant.next_at();
-            assert!(first <= at(1.0) && registrant.due(first) == Due::Ask && !registrant.registered(first));
+            let first = registrant.next_deadline();
+            assert!(
+                first <= at(1.0)
+                    && registrant.run_timer(first) == RegistrantAction::SendRequest
+                    && !registrant.is_registered(first)
+            );
             registrant.granted(60, first);
-            let next = registrant.next_at().since(first).secs();
-            assert!((30.0..=48.0).contains(&next) && registrant.registered(registrant.next_at()), "{next}");
+            let next = registrant.next_deadline().since(first).secs();
+            assert!(
+                (30.0..=48.0).contains(&next) && registrant.is_registered(registrant.next_deadline()),
+                "{next}"
+            );
         }
     }
 
@@ -138,16 +145,16 @@
         let mut firsts = Vec::new();
         for seed in 0..200 {
             let mut registrant = registrant(seed);
-            let mut now = registrant.next_at();
-            assert_eq!(registrant.due(now), Due::Ask);
-            assert_eq!(registrant.due(now), Due::Nothing);
+            let mut now = registrant.next_deadline();
+            assert_eq!(registrant.run_timer(now), RegistrantAction::SendRequest);
+            assert_eq!(registrant.run_timer(now), RegistrantAction::Wait);
             let mut gaps = Vec::new();
             for _ in 0..14 {
-                now = registrant.next_at();
-                assert_eq!(registrant.due(now), Due::GiveUp);
-                gaps.push(registrant.next_at().since(now).secs());
-                now = registrant.next_at();
-                assert_eq!(registrant.due(now), Due::Ask);
+                now = registrant.next_deadline();
+                assert_eq!(registrant.run_timer(now), RegistrantAction::GiveUp);
+                gaps.push(registrant.next_deadline().since(now).secs());
+                now = registrant.next_deadline();
+                assert_eq!(registrant.run_timer(now), RegistrantAction::SendRequest);
             }
             for (n, gap) in gaps.iter().enumerate() {
                 let whole = (1_u64 << n).min(300) as f64;
@@ -156,7 +163,7 @@
             firsts.push(gaps[5]);
             registrant.granted(60, now);
             registrant.failed(now);
-            assert!(registrant.next_at().since(now).secs() <= 1.0, "a success forgives the failures");
+            assert!(registrant.next_deadline().since(now).secs() <= 1.0, "a success forgives the failures");
         }
         let early = firsts.iter().filter(|gap| **gap < 24.0).count();
         assert!((60..140).contains(&early), "{early} of 200 in the first half");
--- a/src/iax2/registrar.rs
+++ b/src/iax2/registrar.rs
@@ -25,14 +25,14 @@
 
 /// Where a user is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct Registration {
     /// His address, as we see it.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Since when his process is taken to run.
-    pub born: Time,
+    pub started: Time,
     /// His time is over then.
-    pub until: Time,
-    moved: Time,
+    pub expires: Time,
+    address_changed: Time,
     renewed: Time,
     granted: Span,
 }
@@ -42,67 +42,71 @@
 pub enum RegisterError {
     /// He was registered from elsewhere a moment ago.
     #[error("registered from another address a moment ago")]
-    Elsewhere,
+    MovedRecently,
     /// Too many are.
     #[error("too many are registered")]
-    Full,
+    TableFull,
 }
 
 /// All who are registered.
 #[derive(Debug, Default)]
-pub struct Registrar(BTreeMap<String, Place>);
+pub struct Registrar(BTreeMap<String, Registration>);
 
 impl Registrar {
     /// Registers a user who has shown that he is one. Returns for how many seconds.
     pub fn register(
         &mut self,
         user: &str,
-        at: SocketAddr,
+        address: SocketAddr,
         secs: Option<u32>,
         now: Time,
     ) -> Result<u32, RegisterError> {
         let secs = secs.unwrap_or(USUAL_SECS).clamp(GRANTED_SECS.0, GRANTED_SECS.1);
         let granted = Span::from_millis(u64::from(secs) * 1000);
-        let until = now.plus(granted).plus(granted.share(GRACE));
-        let before = self.0.get(user).filter(|place| place.until > now).copied();
-        let fresh = Place { at, born: now, until, moved: now, renewed: now, granted };
-        let place = match before {
-            None if self.0.len() >= MOST => return Err(RegisterError::Full),
+        let expires = now.plus(granted).plus(granted.share(GRACE));
+        let before = self.0.get(user).filter(|registration| registration.expires > now).copied();
+        let fresh =
+            Registration { address, started: now, expires, address_changed: now, renewed: now, granted };
+        let registration = match before {
+            None if self.0.len() >= MOST => return Err(RegisterError::TableFull),
             None => fresh,
-            Some(place) if place.at != at && now.since(place.moved) < SETTLES_IN => {
-                return Err(RegisterError::Elsewhere);
+            Some(registration)
+                if registration.address != address
+                    && now.since(registration.address_changed) < SETTLES_IN =>
+            {
+                return Err(RegisterError::MovedRecently);
             }
-            Some(place) if place.at != at => fresh,
-            Some(place) if now.since(place.renewed) < place.granted.share(EARLY) => {
-                Place { moved: place.moved, ..fresh }
+            Some(registration) if registration.address != address => fresh,
+            Some(registration) if now.since(registration.renewed) < registration.granted.share(EARLY) => {
+                Registration { address_changed: registration.address_changed, ..fresh }
             }
-            Some(place) => Place { until, renewed: now, granted, ..place },
+            Some(registration) => Registration { expires, renewed: now, granted, ..registration },
         };
-        self.0.insert(user.to_owned(), place);
+        self.0.insert(user.to_owned(), registration);
         Ok(secs)
     }
 
     /// A user leaves. From elsewhere than he is, it says nothing of the one who is there.
-    pub fn release(&mut self, user: &str, at: SocketAddr) -> bool {
-        let here = self.0.get(user).is_some_and(|place| place.at == at);
+    pub fn release(&mut self, user: &str, address: SocketAddr) -> bool {
+        let here = self.0.get(user).is_some_and(|registration| registration.address == address);
         here && self.0.remove(user).is_some()
     }
 
     /// Drops those whose time is over, and those who are `known` no longer. `true`: somebody left.
     pub fn expire(&mut self, now: Time, known: impl Fn(&str) -> bool) -> bool {
         let before = self.0.len();
-        self.0.retain(|user, place| place.until > now && known(user));
+        self.0.retain(|user, registration| registration.expires > now && known(user));
         self.0.len() != before
     }
 
     /// When the next time is over.
-    pub fn next_at(&self) -> Option<Time> {
-        self.0.values().map(|place| place.until).min()
+    pub fn next_deadline(&self) -> Option<Time> {
+        self.0.values().map(|registration| registration.expires).min()
     }
 
     /// Who is where.
-    pub fn places(&self) -> impl Iterator<Item = (&str, &Place)> {
-        self.0.iter().map(|(user, place)| (user.as_str(), place))
+    pub fn registrations(&self) -> impl Iterator<Item = (&str, &Registration)> {
+        self.0.iter().map(|(user, registration)| (user.as_str(), registration))
     }
 }
 
@@ -119,7 +123,10 @@
     }
 
     fn born(registrar: &Registrar) -> Vec<(u16, u64)> {
-        registrar.places().map(|(_, place)| (place.at.port(), place.born.0 / 1_000_000)).collect()
+        registrar
+            .registrations()
+            .map(|(_, registration)| (registration.address.port(), registration.started.0 / 1_000_000))
+            .collect()
     }
 
     #[test]
@@ -132,8 +139,8 @@
         assert_eq!(born(&registrar), [(1, 155)], "its process has started anew");
         assert_eq!(registrar.register("a", place(2), Some(5), at(200)), Ok(10));
         assert_eq!(born(&registrar), [(2, 200)]);
-        assert_eq!(registrar.register("a", place(1), None, at(205)), Err(RegisterError::Elsewhere));
-        assert_eq!(registrar.next_at(), Some(at(211)));
+        assert_eq!(registrar.register("a", place(1), None, at(205)), Err(RegisterError::MovedRecently));
+        assert_eq!(registrar.next_deadline(), Some(at(211)));
         assert!(!registrar.expire(at(210), |_| true) && registrar.expire(at(211), |_| true));
         assert_eq!(registrar.register("a", place(2), Some(90_000), at(220)), Ok(3_600));
         assert_eq!(born(&registrar), [(2, 220)]);
@@ -149,6 +156,6 @@
         assert_eq!(told.count(), MOST);
         assert_eq!(registrar.register("5", place(1), None, at(50)), Ok(60), "who is in may renew");
         assert!(registrar.expire(at(50), |user| user == "5"));
-        assert_eq!(registrar.places().count(), 1);
+        assert_eq!(registrar.registrations().count(), 1);
     }
 }
--- a/src/iax2/tokens.rs
+++ b/src/iax2/tokens.rs
@@ -22,7 +22,7 @@
 /// Whether callers must show a token.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Tokens {
+pub enum TokenPolicy {
     /// None is asked for.
     #[default]
     Off,
@@ -40,28 +40,28 @@
     Length(usize),
     /// It was given too long ago, or bears a time to come.
     #[error("a call token that is not of now")]
-    Late,
+    Expired,
     /// It was not given here, or not to this address.
     #[error("a call token that was not given to this address")]
-    Foreign,
+    Mismatch,
 }
 
 /// What makes tokens and knows them again.
 #[derive(Clone)]
-pub struct Minter {
+pub struct TokenIssuer {
     secret: [u8; 32],
 }
 
-impl std::fmt::Debug for Minter {
+impl std::fmt::Debug for TokenIssuer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Minter(..)") // its secret goes to no log
+        f.write_str("TokenIssuer(..)") // its secret goes to no log
     }
 }
 
-impl Minter {
+impl TokenIssuer {
     /// One with a secret that nobody else knows. Its keys follow from the secret and the hour.
-    pub fn new(secret: [u8; 32]) -> Minter {
-        Minter { secret }
+    pub fn new(secret: [u8; 32]) -> TokenIssuer {
+        TokenIssuer { secret }
     }
 
     fn mac(&self, to: SocketAddr, made_ms: u64) -> Hmac<Sha256> {
@@ -81,24 +81,24 @@
     }
 
     /// A token for an address.
-    pub fn make(&self, to: SocketAddr, now: Time) -> Vec<u8> {
+    pub fn issue(&self, to: SocketAddr, now: Time) -> Vec<u8> {
         let made_ms = now.0 / 1000;
         let mac = self.mac(to, made_ms).finalize().into_bytes();
         [&made_ms.to_be_bytes()[..], &mac[..MAC]].concat()
     }
 
     /// Whether a token was given to this address a moment ago. Compared in constant time.
-    pub fn check(&self, from: SocketAddr, token: &[u8], now: Time) -> Result<(), TokenError> {
+    pub fn verify(&self, from: SocketAddr, token: &[u8], now: Time) -> Result<(), TokenError> {
         let (made, mac) = token.split_at_checked(8).ok_or(TokenError::Length(token.len()))?;
         let made: [u8; 8] = made.try_into().map_err(|_| TokenError::Length(token.len()))?;
         if mac.len() != MAC {
             return Err(TokenError::Length(token.len()));
         }
         let made_ms = u64::from_be_bytes(made);
-        self.mac(from, made_ms).verify_truncated_left(mac).map_err(|_| TokenError::Foreign)?;
+        self.mac(from, made_ms).verify_truncated_left(mac).map_err(|_| TokenError::Mismatch)?;
         let made = Time(made_ms.saturating_mul(1000));
         if made > now || now.since(made) > GOOD_FOR {
-            return Err(TokenError::Late);
+            return Err(TokenError::Expired);
         }
         Ok(())
     }
@@ -114,33 +114,33 @@
 
     #[test]
     fn a_token_is_good_for_its_address_and_its_time_alone() {
-        let (minter, now) = (Minter::new([7; 32]), Time(1_700_000_000_000_000));
+        let (minter, now) = (TokenIssuer::new([7; 32]), Time(1_700_000_000_000_000));
         let here = place([127, 0, 0, 1], 4_569);
-        let token = minter.make(here, now);
+        let token = minter.issue(here, now);
         assert_eq!(token.len(), LENGTH);
         let after = |ms| now.plus(Span::from_millis(ms));
-        assert_eq!(minter.check(here, &token, after(9_999)), Ok(()));
-        assert_eq!(minter.check(here, &token, after(10_001)), Err(TokenError::Late));
-        assert_eq!(minter.check(here, &token, Time(now.0 - 1_000)), Err(TokenError::Late));
+        assert_eq!(minter.verify(here, &token, after(9_999)), Ok(()));
+        assert_eq!(minter.verify(here, &token, after(10_001)), Err(TokenError::Expired));
+        assert_eq!(minter.verify(here, &token, Time(now.0 - 1_000)), Err(TokenError::Expired));
         for other in [place([127, 0, 0, 1], 4_570), place([127, 0, 0, 2], 4_569)] {
-            assert_eq!(minter.check(other, &token, now), Err(TokenError::Foreign));
+            assert_eq!(minter.verify(other, &token, now), Err(TokenError::Mismatch));
         }
-        assert_eq!(Minter::new([8; 32]).check(here, &token, now), Err(TokenError::Foreign));
+        assert_eq!(TokenIssuer::new([8; 32]).verify(here, &token, now), Err(TokenError::Mismatch));
         for at in 0..LENGTH {
             let mut bent = token.clone();
             bent[at] ^= 1;
-            assert!(minter.check(here, &bent, now).is_err(), "byte {at}");
-            assert_eq!(minter.check(here, &token[..at], now), Err(TokenError::Length(at)));
+            assert!(minter.verify(here, &bent, now).is_err(), "byte {at}");
+            assert_eq!(minter.verify(here, &token[..at], now), Err(TokenError::Length(at)));
         }
     }
 
     #[test]
     fn a_token_outlives_the_hour_of_its_key() {
-        let minter = Minter::new([7; 32]);
+        let minter = TokenIssuer::new([7; 32]);
         let hour = Time(3_600_000_000 * 472_222);
         let (before, after) = (Time(hour.0 - 1_000_000), Time(hour.0 + 1_000_000));
         let here = place([10, 0, 0, 1], 1);
-        assert_eq!(minter.check(here, &minter.make(here, before), after), Ok(()));
-        assert_ne!(minter.make(here, before)[8..], minter.make(here, after)[8..]);
+        assert_eq!(minter.verify(here, &minter.issue(here, before), after), Ok(()));
+        assert_ne!(minter.issue(here, before)[8..], minter.issue(here, after)[8..]);
     }
 }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -29,7 +29,7 @@
 use crate::drain::Drain;
 use crate::front::iax2::Callers;
 use crate::front::jsonl;
-use crate::iax2::frame::LONGEST as LONGEST_FRAME;
+use crate::iax2::frame::MAX_DATAGRAM_BYTES as LONGEST_FRAME;
 use crate::iax2::legs::Outgoing;
 use crate::interface::{ServerId, Time};
 use crate::net::conn::Line;
--- a/src/upstream/iax2/mod.rs
+++ b/src/upstream/iax2/mod.rs
@@ -6,9 +6,9 @@
 
 use crate::core::{AttemptError, Broken, Input, Progress, Refusal, Report, ServerSays, Sid, WirePart};
 use crate::iax2::auth::Account;
-use crate::iax2::describe::{describe, description_in};
-use crate::iax2::frame::{ie, parse, unsupported, Control, Datagram, Elements, Frame, Iax, Kind};
-use crate::iax2::legs::{Legs, Told};
+use crate::iax2::describe::{add_description, description_of};
+use crate::iax2::frame::{ie, parse, unsupport_reply, Control, Datagram, Elements, Frame, Iax, Kind};
+use crate::iax2::legs::{LegEvent, Legs};
 use crate::interface::{Cause, ServerId, Span, Time};
 use crate::upstream::sip::message::report_of;
 use crate::upstream::Todo;
@@ -71,10 +71,10 @@
         self.dials.insert(server, dial);
         let Some(born) = fresh else { return };
         let of_old =
-            |(key, (no, _)): &(&Key, &(u16, Call))| key.0 == server && !self.legs.heard_since(*no, born);
+            |(key, (no, _)): &(&Key, &(u16, Call))| key.0 == server && !self.legs.received_since(*no, born);
         let old: Vec<(Key, u16)> = self.calls.iter().filter(of_old).map(|(k, (no, _))| (*k, *no)).collect();
         for (key, no) in old {
-            self.legs.forget_sent(no);
+            self.legs.cancel_retransmissions(no);
             self.broken(key, Broken::Ended, now, todo);
         }
     }
@@ -84,7 +84,7 @@
         let of_old = self.calls.iter().filter(|(key, _)| key.0 == server);
         let old: Vec<(Key, u16)> = of_old.map(|(key, (no, _))| (*key, *no)).collect();
         for (key, no) in old {
-            self.legs.forget_sent(no);
+            self.legs.cancel_retransmissions(no);
             self.broken(key, Broken::Ended, now, todo);
         }
     }
@@ -108,7 +108,7 @@
         todo: &mut Todo,
     ) {
         let dial = self.dials.get(&server).copied();
-        let Some(no) = dial.and_then(|dial| self.legs.call(dial, (server, sid), now)) else {
+        let Some(no) = dial.and_then(|dial| self.legs.open_outgoing(dial, (server, sid), now)) else {
             let error = AttemptError { why: Broken::Connect, progress: Progress::NotConnected };
             return todo.inputs.push(Input::Server(server, sid, ServerSays::Lost(error)));
         };
@@ -123,7 +123,7 @@
             Some(account) => elements.with(ie::USERNAME, account.username.as_bytes()),
             None => elements,
         };
-        let elements = describe(elements, body);
+        let elements = add_description(elements, body);
         self.counts.news += 1;
         self.legs.send(no, Kind::Iax(Iax::New), elements, now, &mut todo.to_servers);
         self.calls.insert((server, sid), (no, Call::default()));
@@ -135,7 +135,7 @@
         let Some((no, _)) = self.calls.remove(&(server, sid)) else { return };
         // A NEW that was never heard must not be heard after the HANGUP.
         if !self.legs.answered(no) {
-            self.legs.forget_sent(no);
+            self.legs.cancel_retransmissions(no);
         }
         self.say_hang_up(no, cause, now, todo);
     }
@@ -174,17 +174,17 @@
         };
         let told = self.legs.receive(from, &frame, now, &mut todo.to_servers);
         match told {
-            Some(Told::Frame(no, frame)) => self.frame(no, &frame, now, todo),
-            Some(Told::Lost(key)) => self.broken(key, Broken::Ended, now, todo),
+            Some(LegEvent::Frame(no, frame)) => self.frame(no, &frame, now, todo),
+            Some(LegEvent::Lost(key)) => self.broken(key, Broken::Ended, now, todo),
             // Call servers do not call.
-            Some(Told::New(new)) => todo.to_servers.push((from, new.inval().bytes())),
+            Some(LegEvent::New(new)) => todo.to_servers.push((from, new.inval().bytes())),
             None => {}
         }
         self.arm(frame.dest, todo);
     }
 
     fn frame(&mut self, no: u16, frame: &Frame, now: Time, todo: &mut Todo) {
-        let Some(&key) = self.legs.of(no) else { return };
+        let Some(&key) = self.legs.owner(no) else { return };
         let Some((_, call)) = self.calls.get_mut(&key) else { return };
         let (server, sid) = key;
         let elements = &frame.elements;
@@ -193,19 +193,19 @@
         let over = match frame.kind {
             Kind::Iax(Iax::AuthReq) => {
                 // Where we have no answer, an empty one is refused at once: better than a call server that waits.
-                let answer = self.account.as_ref().and_then(|account| account.answer(elements));
+                let answer = self.account.as_ref().and_then(|account| account.respond(elements));
                 let answer = answer.unwrap_or_default();
                 self.legs.send(no, Kind::Iax(Iax::AuthRep), answer, now, &mut todo.to_servers);
                 return;
             }
             Kind::Iax(Iax::Accept) => {
-                call.body = Some(description_in(elements).into());
+                call.body = Some(description_of(elements).into());
                 return;
             }
             Kind::Control(Control::Answer) if !call.stands => {
                 call.stands = true;
-                let body = call.body.clone().unwrap_or_else(|| description_in(elements).into());
-                self.legs.stands(no);
+                let body = call.body.clone().unwrap_or_else(|| description_of(elements).into());
+                self.legs.mark_established(no);
                 todo.inputs.push(Input::Server(server, sid, ServerSays::Answered(body)));
                 return;
             }
@@ -213,7 +213,7 @@
             Kind::Control(Control::Busy) => Some(17),
             Kind::Control(Control::Congestion) => Some(42),
             Kind::Iax(iax) => {
-                if let Some(elements) = unsupported(iax) {
+                if let Some(elements) = unsupport_reply(iax) {
                     self.legs.send(no, Kind::Iax(Iax::Unsupport), elements, now, &mut todo.to_servers);
                 }
                 return;
@@ -252,7 +252,7 @@
     /// Does what is due on a leg.
     pub fn due(&mut self, key: u64, now: Time, todo: &mut Todo) {
         let no = u16::try_from(key).unwrap_or(0);
-        if let Some(Told::Lost(call)) = self.legs.due(no, now, &mut todo.to_servers) {
+        if let Some(LegEvent::Lost(call)) = self.legs.run_timers(no, now, &mut todo.to_servers) {
             self.broken(call, Broken::Silent, now, todo);
         }
         self.arm(no, todo);
@@ -264,7 +264,7 @@
     }
 
     fn arm(&self, no: u16, todo: &mut Todo) {
-        if let Some(at) = self.legs.next_due(no) {
+        if let Some(at) = self.legs.next_deadline(no) {
             todo.dues.push((at, WirePart::IaxServers, u64::from(no)));
         }
     }
--- a/tests/iax2.rs
+++ b/tests/iax2.rs
@@ -9,7 +9,7 @@
 
 use lockpoint::config::{DnsSdConfig, Iax2Config};
 use lockpoint::iax2::frame::{ie, parse, Control, Datagram, Elements, Frame, Iax, Kind};
-use lockpoint::iax2::legs::{Legs, Told};
+use lockpoint::iax2::legs::{LegEvent, Legs};
 use lockpoint::interface::Time;
 use support::iax2::{IaxCaller, IaxServer, Resolver, SERVICE};
 use support::{host, name, on_one_thread, Bulletin, Caller, Controller, Does, Seen, SipServer, What, World};
@@ -205,7 +205,8 @@
     async fn say(&self, dest: u16, oseq: u8, iseq: u8, kind: Kind, elements: Elements) {
         let timestamp = u32::from(oseq) * 10 + 3;
         let data = Vec::new();
-        let frame = Frame { source: 77, dest, again: false, timestamp, oseq, iseq, kind, elements, data };
+        let frame =
+            Frame { source: 77, dest, retransmitted: false, timestamp, oseq, iseq, kind, elements, data };
         self.0.send(&frame.bytes()).await.expect("sent");
     }
     /// The next frame of this kind; others are passed over.
@@ -242,11 +243,11 @@
         let accept = raw.hears(Kind::Iax(Iax::Accept)).await;
         let answer = raw.hears(Kind::Control(Control::Answer)).await;
         assert_eq!((accept.oseq, answer.oseq, accept.iseq), (0, 1, 1));
-        // VNAK: both are sent again, marked so. They are not acknowledged, so they come again by themselves too.
+        // VNAK: both are sent retransmitted, marked so. They are not acknowledged, so they come again by themselves too.
         raw.say(me, 1, 0, Kind::Iax(Iax::Vnak), none()).await;
         let again = raw.hears(Kind::Iax(Iax::Accept)).await;
-        assert!(again.again && again.oseq == 0 && again.timestamp == accept.timestamp);
-        assert!(raw.hears(Kind::Iax(Iax::Accept)).await.again);
+        assert!(again.retransmitted && again.oseq == 0 && again.timestamp == accept.timestamp);
+        assert!(raw.hears(Kind::Iax(Iax::Accept)).await.retransmitted);
         // PING and LAGRQ are echoed with their time; a frame ahead of its turn is not acted on.
         raw.say(me, 1, 2, Kind::Iax(Iax::Ping), none()).await;
         assert_eq!(raw.hears(Kind::Iax(Iax::Pong)).await.timestamp, 13);
@@ -282,7 +283,7 @@
     let new = |timestamp| Frame {
         source: 5,
         dest: 0,
-        again: false,
+        retransmitted: false,
         timestamp,
         oseq: 0,
         iseq: 0,
@@ -291,20 +292,20 @@
         data: Vec::new(),
     };
     let (mut legs, mut out) = (Legs::<u8>::default(), Vec::new());
-    assert!(matches!(legs.receive(peer, &new(3), at(0), &mut out), Some(Told::New(_))));
-    let no = legs.answer(peer, &new(3), 1, at(0), &mut out).expect("a number");
+    assert!(matches!(legs.receive(peer, &new(3), at(0), &mut out), Some(LegEvent::New(_))));
+    let no = legs.open_incoming(peer, &new(3), 1, at(0), &mut out).expect("a number");
     legs.end(no, at(10));
     // The same NEW, late: acknowledged, nothing more. Another one is a call of its own, on another number.
     assert_eq!(legs.receive(peer, &new(3), at(20), &mut out), None);
-    assert!(matches!(legs.receive(peer, &new(900), at(900), &mut out), Some(Told::New(_))));
-    let next = legs.answer(peer, &new(900), 2, at(900), &mut out).expect("a number");
+    assert!(matches!(legs.receive(peer, &new(900), at(900), &mut out), Some(LegEvent::New(_))));
+    let next = legs.open_incoming(peer, &new(900), 2, at(900), &mut out).expect("a number");
     assert_ne!(no, next);
-    let called = legs.call(peer, 3, at(900)).expect("a number");
+    let called = legs.open_outgoing(peer, 3, at(900)).expect("a number");
     legs.end(called, at(1_000));
-    legs.due(called, at(10_999), &mut out);
-    assert!(legs.next_due(called).is_some(), "it still rests");
-    legs.due(called, at(11_000), &mut out);
-    assert_eq!(legs.next_due(called), None);
+    legs.run_timers(called, at(10_999), &mut out);
+    assert!(legs.next_deadline(called).is_some(), "it still rests");
+    legs.run_timers(called, at(11_000), &mut out);
+    assert_eq!(legs.next_deadline(called), None);
 }
 
 #[test]
--- a/tests/iax2_auth.rs
+++ b/tests/iax2_auth.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use lockpoint::config::{parse_operator, DnsSdConfig, Iax2Config, Iax2Secrets};
-use lockpoint::iax2::auth::{Account, Examiner, Users};
+use lockpoint::iax2::auth::{Account, Authenticator, Users};
 use support::iax2::{IaxCaller, IaxServer, Resolver, SERVICE};
 use support::{name, on_one_thread, Bulletin, Controller, Does, What, World};
 
@@ -77,7 +77,8 @@
             let world = World::default();
             let mine = Some(account("desk", secret));
             let (controller, server) = scene(&world, Iax2Secrets { users: None, account: mine }).await;
-            *server.examiner.borrow_mut() = Some(Examiner::new(Users::parse(USERS).expect("good"), [1; 32]));
+            *server.examiner.borrow_mut() =
+                Some(Authenticator::new(Users::parse(USERS).expect("good"), [1; 32]));
             let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
             caller.open(&name(1), 3_000, 0, "x");
             let stands = world.answer(&name(1)).await.what == What::Ready("a".into());
--- a/tests/iax2_registration.rs
+++ b/tests/iax2_registration.rs
@@ -12,8 +12,8 @@
 use lockpoint::front::iax2::{Callers, Usual};
 use lockpoint::iax2::auth::{Account, Users};
 use lockpoint::iax2::frame::{ie, parse, Datagram, Elements, Frame, Iax, Kind};
-use lockpoint::iax2::legs::{Legs, Outgoing, Told};
-use lockpoint::iax2::tokens::Tokens;
+use lockpoint::iax2::legs::{LegEvent, Legs, Outgoing};
+use lockpoint::iax2::tokens::TokenPolicy;
 use lockpoint::interface::{Span, Time};
 use lockpoint::upstream::Todo;
 use support::iax2::{IaxCaller, IaxServer};
@@ -42,8 +42,8 @@
     fn new() -> Pair {
         let usual =
             Usual { class: "c".into(), left: Span::from_millis(9_000), zones: vec!["east".into()], seed: 1 };
-        let mut front = Callers::new(usual, Door::new(Tokens::Required, [2; 32]));
-        front.reconfigure(Span::from_millis(9_000), &[], Tokens::Required, Default::default());
+        let mut front = Callers::new(usual, Door::new(TokenPolicy::Required, [2; 32]));
+        front.reconfigure(Span::from_millis(9_000), &[], TokenPolicy::Required, Default::default());
         front.examine(Users::parse(USERS).ok().as_ref(), [3; 32]);
         let at = SocketAddr::from(([127, 0, 0, 1], 4_001));
         Pair { front, peer: Legs::default(), at, now: Time(1_700_000_000_000_000), list: None, due: None }
@@ -66,7 +66,7 @@
     fn registers(&mut self, kind: Iax, me: &Account, secs: u16) -> Frame {
         let front_at = SocketAddr::from(([127, 0, 0, 1], 4_569));
         let mut out = Vec::new();
-        let no = self.peer.call(front_at, (), self.now).expect("a number");
+        let no = self.peer.open_outgoing(front_at, (), self.now).expect("a number");
         let refresh = |e: Elements| e.with(ie::REFRESH, &secs.to_be_bytes());
         let first =
             refresh(Elements::default()).with(ie::USERNAME, me.username.as_bytes()).with(ie::CALLTOKEN, &[]);
@@ -82,11 +82,11 @@
             for (_, bytes) in back {
                 let Ok(Datagram::Full(frame)) = parse(&bytes) else { panic!("not read") };
                 match self.peer.receive(front_at, &frame, self.now, &mut out) {
-                    Some(Told::Frame(no, asked)) if asked.kind == Kind::Iax(Iax::RegAuth) => {
-                        let answer = refresh(me.answer(&asked.elements).expect("an answer"));
+                    Some(LegEvent::Frame(no, asked)) if asked.kind == Kind::Iax(Iax::RegAuth) => {
+                        let answer = refresh(me.respond(&asked.elements).expect("an answer"));
                         self.peer.send(no, Kind::Iax(kind), answer, self.now, &mut out);
                     }
-                    Some(Told::Frame(_, frame)) => ends = Some(frame),
+                    Some(LegEvent::Frame(_, frame)) => ends = Some(frame),
                     _ => {}
                 }
             }
@@ -173,7 +173,7 @@
         let world = World::default();
         let mut config = support::config("127.0.0.1:9".parse().expect("an address"));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        config.iax2 = Some(Iax2Config { tokens: Tokens::Required, ..Iax2Config::at(any, any) });
+        config.iax2 = Some(Iax2Config { tokens: TokenPolicy::Required, ..Iax2Config::at(any, any) });
         (config.bulletin, config.secrets) =
             (None, Iax2Secrets { users: Users::parse(USERS).ok(), account: None });
         let controller = Controller::start(config).await;
@@ -222,7 +222,7 @@
             config
         };
         let nobody = Users::parse("[user.other]\nsecret = 'x'\n").ok();
-        let iax2 = || Iax2Config { tokens: Tokens::Required, ..Iax2Config::at(any, any) };
+        let iax2 = || Iax2Config { tokens: TokenPolicy::Required, ..Iax2Config::at(any, any) };
         let registrar = Controller::start(config(iax2(), Iax2Secrets { users: nobody, account: None })).await;
         let at = registrar.iax2_at.expect("a port");
         let mine = Iax2Secrets { users: None, account: Some(account("s1", "wort")) };
--- a/tests/iax2_tokens.rs
+++ b/tests/iax2_tokens.rs
@@ -7,12 +7,12 @@
 use lockpoint::config::{DnsSdConfig, Iax2Config};
 use lockpoint::front::iax2::door::Door;
 use lockpoint::iax2::frame::{ie, parse, Datagram, Elements, Frame, Iax, Kind};
-use lockpoint::iax2::tokens::Tokens;
+use lockpoint::iax2::tokens::TokenPolicy;
 use support::iax2::{IaxCaller, IaxServer, Resolver, SERVICE};
 use support::{name, on_one_thread, Bulletin, Controller, Does, What, World};
 use tokio::net::UdpSocket;
 
-async fn controller(bulletin: &Bulletin, resolver: &Resolver, tokens: Tokens) -> Controller {
+async fn controller(bulletin: &Bulletin, resolver: &Resolver, tokens: TokenPolicy) -> Controller {
     let mut config = support::config(bulletin.at);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     config.iax2 = Some(Iax2Config { tokens, ..Iax2Config::at(any, any) });
@@ -28,9 +28,9 @@
         let world = World::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
         let server = IaxServer::start(&world, "i0", Does::Answer("a".into())).await;
-        *server.door.borrow_mut() = Door::new(Tokens::Required, [9; 32]);
+        *server.door.borrow_mut() = Door::new(TokenPolicy::Required, [9; 32]);
         resolver.name_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
-        let controller = controller(&bulletin, &resolver, Tokens::Required).await;
+        let controller = controller(&bulletin, &resolver, TokenPolicy::Required).await;
         let at = controller.iax2_at.expect("a port");
         let caller = IaxCaller::start(&world, "c", at).await;
         caller.open(&name(1), 5_000, 0, "x");
@@ -50,13 +50,13 @@
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
         let server = IaxServer::start(&world, "i0", Does::Answer("a".into())).await;
         resolver.name_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
-        let controller = controller(&bulletin, &resolver, Tokens::Required).await;
+        let controller = controller(&bulletin, &resolver, TokenPolicy::Required).await;
         let raw = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         raw.connect(controller.iax2_at.expect("a port")).await.expect("connected");
         let new = |source, elements: Elements| Frame {
             source,
             dest: 0,
-            again: false,
+            retransmitted: false,
             timestamp: 1,
             oseq: 0,
             iseq: 0,
--- a/tests/legs.rs
+++ b/tests/legs.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use lockpoint::iax2::frame::{parse, Control, Datagram, Elements, Iax, Kind};
-use lockpoint::iax2::legs::{Legs, Outgoing, Told};
+use lockpoint::iax2::legs::{LegEvent, Legs, Outgoing};
 use lockpoint::interface::{Span, Time};
 use lockpoint_lab::path::{Path, PathConfig};
 use proptest::prelude::*;
@@ -67,7 +67,7 @@
         let until = self.now.plus(span);
         loop {
             let way = self.ways.peek().map(|Reverse((at, ..))| *at);
-            let due = |side: usize| self.legs[side].next_due(self.numbers[side]);
+            let due = |side: usize| self.legs[side].next_deadline(self.numbers[side]);
             let next = [way, due(CALLER), due(CALLED)].into_iter().flatten().min();
             let Some(next) = next.filter(|at| *at <= until) else { break };
             self.now = self.now.max(next);
@@ -78,7 +78,9 @@
             }
             for side in [CALLER, CALLED] {
                 let mut out = Vec::new();
-                if let Some(Told::Lost(_)) = self.legs[side].due(self.numbers[side], self.now, &mut out) {
+                if let Some(LegEvent::Lost(_)) =
+                    self.legs[side].run_timers(self.numbers[side], self.now, &mut out)
+                {
                     self.lost[side] = true;
                 }
                 self.put(side, out);
@@ -95,19 +97,19 @@
         let told = self.legs[side].receive(place(1 - side), &frame, self.now, &mut out);
         self.put(side, out);
         match told {
-            Some(Told::New(new)) => {
+            Some(LegEvent::New(new)) => {
                 assert_eq!(self.numbers[side], 0, "a second leg for the same call");
                 let mut out = Vec::new();
-                let no = self.legs[side].answer(place(1 - side), &new, "called", self.now, &mut out);
+                let no = self.legs[side].open_incoming(place(1 - side), &new, "called", self.now, &mut out);
                 self.numbers[side] = no.expect("a number");
                 self.put(side, out);
                 self.say(side, Kind::Iax(Iax::Accept));
                 self.say(side, Kind::Control(Control::Ringing));
                 self.say(side, Kind::Control(Control::Answer));
-                self.legs[side].stands(self.numbers[side]);
+                self.legs[side].mark_established(self.numbers[side]);
             }
-            Some(Told::Frame(_, frame)) => self.told[side].push(frame.kind),
-            Some(Told::Lost(_)) => self.lost[side] = true,
+            Some(LegEvent::Frame(_, frame)) => self.told[side].push(frame.kind),
+            Some(LegEvent::Lost(_)) => self.lost[side] = true,
             None => {}
         }
     }
@@ -116,7 +118,8 @@
 /// Sets a call up and waits until it stands on both sides.
 fn stands(path: PathConfig, seed: u64) -> Model {
     let mut model = Model::new(path, seed);
-    model.numbers[CALLER] = model.legs[CALLER].call(place(CALLED), "caller", model.now).expect("a number");
+    model.numbers[CALLER] =
+        model.legs[CALLER].open_outgoing(place(CALLED), "caller", model.now).expect("a number");
     model.say(CALLER, Kind::Iax(Iax::New));
     model.run(Span::from_millis(30_000));
     let answer = [Kind::Iax(Iax::Accept), Kind::Control(Control::Ringing), Kind::Control(Control::Answer)];
@@ -201,9 +204,9 @@
     model.paths[CALLED] = Path::new(PathConfig { loss: 1.0, ..PathConfig::default() }, 1);
     model.say(CALLED, Kind::Iax(Iax::Hangup));
     let mut copies = Vec::new();
-    while let Some(at) = model.legs[CALLED].next_due(no).filter(|_| !model.lost[CALLED]) {
+    while let Some(at) = model.legs[CALLED].next_deadline(no).filter(|_| !model.lost[CALLED]) {
         let mut out = Vec::new();
-        model.lost[CALLED] = model.legs[CALLED].due(no, at, &mut out).is_some();
+        model.lost[CALLED] = model.legs[CALLED].run_timers(no, at, &mut out).is_some();
         copies.extend(out.iter().map(|_| at.since(sent).0 / 1_000));
     }
     assert_eq!(copies[..2], [100, 371]);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -197,7 +197,7 @@
         .with_variable("left", "1500");
     let kind = Kind::Iax(Iax::New);
     let data = Vec::new();
-    Frame { source: 5, dest: 0, again: false, timestamp: 7, oseq: 0, iseq: 0, kind, elements, data }
+    Frame { source: 5, dest: 0, retransmitted: false, timestamp: 7, oseq: 0, iseq: 0, kind, elements, data }
 }
 
 #[test]
@@ -205,7 +205,7 @@
     // F and source 1, R and destination 2, timestamp 3, OSeqno 4, ISeqno 5, IAX control HANGUP, cause code 16.
     let bytes = [0x80, 1, 0x80, 2, 0, 0, 0, 3, 4, 5, 6, 5, 0x2a, 1, 16];
     let Ok(Datagram::Full(frame)) = frame::parse(&bytes) else { panic!("no full frame") };
-    assert_eq!((frame.source, frame.dest, frame.again, frame.timestamp), (1, 2, true, 3));
+    assert_eq!((frame.source, frame.dest, frame.retransmitted, frame.timestamp), (1, 2, true, 3));
     assert_eq!((frame.oseq, frame.iseq, frame.kind), (4, 5, Kind::Iax(Iax::Hangup)));
     assert_eq!(frame.elements.number(frame::ie::CAUSE_CODE), Some(16));
     assert_eq!(frame.bytes(), bytes);
@@ -239,21 +239,21 @@
 
 /// Bytes as RFC 5456, 8.1 draws them, and what they mean.
 #[rstest]
-#[case::mini(&[0x00, 5, 0x12, 0x34, 9, 9], Ok(Datagram::Mini { source: 5, stamp: 0x1234, data: vec![9, 9] }))]
-#[case::video(&[0, 0, 0x80, 7, 0x80, 3, 8], Ok(Datagram::Video { source: 7, mark: true, stamp: 3, data: vec![8] }))]
-#[case::trunk(&[0, 0, 1, 0, 0, 0, 1, 0, 0, 5, 0, 2, 8, 9, 0, 6, 0, 0], Ok(Datagram::Trunk { stamp: 256, entries: vec![
-    TrunkEntry { source: 5, stamp: None, data: vec![8, 9] }, TrunkEntry { source: 6, stamp: None, data: vec![] }] }))]
-#[case::trunk_with_times(&[0, 0, 1, 1, 0, 0, 0, 9, 0, 1, 0, 5, 0, 7, 8], Ok(Datagram::Trunk { stamp: 9, entries: vec![
-    TrunkEntry { source: 5, stamp: Some(7), data: vec![8] }] }))]
-#[case::trunk_cut_short(&[0, 0, 1, 0, 0, 0, 1, 0, 0, 5, 0, 9, 8], Err(FrameError::Short(13)))]
-#[case::trunk_without_time(&[0, 0, 1, 0, 0], Err(FrameError::Short(5)))]
-#[case::meta_unknown(&[0, 0, 2, 0, 0, 0, 0, 0], Err(FrameError::Meta(2)))]
-#[case::video_cut_short(&[0, 0, 0x80, 7, 1], Err(FrameError::Short(5)))]
-#[case::video_of_nobody(&[0, 0, 0x80, 0, 1, 1], Err(FrameError::NoNumber))]
-#[case::no_number(&[0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1], Err(FrameError::NoNumber))]
-#[case::element_past_the_end(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1, 0x01, 4, b'7'], Err(FrameError::Element(1)))]
-#[case::element_without_length(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1, 0x01], Err(FrameError::Element(1)))]
-#[case::oversized(&[0xff; 20_000], Err(FrameError::Long(20_000)))]
+#[case::mini(&[0x00, 5, 0x12, 0x34, 9, 9], Ok(Datagram::Mini { source: 5, timestamp: 0x1234, data: vec![9, 9] }))]
+#[case::video(&[0, 0, 0x80, 7, 0x80, 3, 8], Ok(Datagram::Video { source: 7, mark: true, timestamp: 3, data: vec![8] }))]
+#[case::trunk(&[0, 0, 1, 0, 0, 0, 1, 0, 0, 5, 0, 2, 8, 9, 0, 6, 0, 0], Ok(Datagram::Trunk { timestamp: 256, entries: vec![
+    TrunkEntry { source: 5, timestamp: None, data: vec![8, 9] }, TrunkEntry { source: 6, timestamp: None, data: vec![] }] }))]
+#[case::trunk_with_times(&[0, 0, 1, 1, 0, 0, 0, 9, 0, 1, 0, 5, 0, 7, 8], Ok(Datagram::Trunk { timestamp: 9, entries: vec![
+    TrunkEntry { source: 5, timestamp: Some(7), data: vec![8] }] }))]
+#[case::trunk_cut_short(&[0, 0, 1, 0, 0, 0, 1, 0, 0, 5, 0, 9, 8], Err(FrameError::TooShort(13)))]
+#[case::trunk_without_time(&[0, 0, 1, 0, 0], Err(FrameError::TooShort(5)))]
+#[case::meta_unknown(&[0, 0, 2, 0, 0, 0, 0, 0], Err(FrameError::UnknownMetaCommand(2)))]
+#[case::video_cut_short(&[0, 0, 0x80, 7, 1], Err(FrameError::TooShort(5)))]
+#[case::video_of_nobody(&[0, 0, 0x80, 0, 1, 1], Err(FrameError::NoCallNumber))]
+#[case::no_number(&[0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1], Err(FrameError::NoCallNumber))]
+#[case::element_past_the_end(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1, 0x01, 4, b'7'], Err(FrameError::TruncatedElement(1)))]
+#[case::element_without_length(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1, 0x01], Err(FrameError::TruncatedElement(1)))]
+#[case::oversized(&[0xff; 20_000], Err(FrameError::TooLong(20_000)))]
 fn datagrams(#[case] bytes: &[u8], #[case] means: Result<Datagram, FrameError>) {
     assert_eq!(frame::parse(bytes), means);
     if let Ok(datagram) = means {
@@ -306,11 +306,11 @@
     let elements = proptest::collection::vec((any::<u8>(), bytes()), 0..6).prop_map(Elements);
     let head = (1..=0x7fff_u16, 0..=0x7fff_u16, any::<bool>(), any::<u32>(), any::<u8>(), any::<u8>());
     (head, kind(), elements, bytes()).prop_map(
-        |((source, dest, again, timestamp, oseq, iseq), kind, elements, data)| {
+        |((source, dest, retransmitted, timestamp, oseq, iseq), kind, elements, data)| {
             let signal = matches!(kind, Kind::Iax(_));
             let elements = if signal { elements } else { Elements::default() };
             let data = if signal { Vec::new() } else { data };
-            Datagram::Full(Frame { source, dest, again, timestamp, oseq, iseq, kind, elements, data })
+            Datagram::Full(Frame { source, dest, retransmitted, timestamp, oseq, iseq, kind, elements, data })
         },
     )
 }
@@ -321,16 +321,20 @@
     let trunk = (any::<u32>(), any::<bool>(), proptest::collection::vec(entry(), 0..5));
     prop_oneof![
         full_frame(),
-        (1..=0x7fff_u16, any::<u16>(), bytes()).prop_map(|(source, stamp, data)| Datagram::Mini {
+        (1..=0x7fff_u16, any::<u16>(), bytes()).prop_map(|(source, timestamp, data)| Datagram::Mini {
             source,
-            stamp,
+            timestamp,
             data
         }),
         (1..=0x7fff_u16, any::<bool>(), 0..0x8000_u16, bytes())
-            .prop_map(|(source, mark, stamp, data)| Datagram::Video { source, mark, stamp, data }),
-        trunk.prop_map(|(stamp, timed, entries)| {
-            let entry = |(source, stamp, data)| TrunkEntry { source, stamp: timed.then_some(stamp), data };
-            Datagram::Trunk { stamp, entries: entries.into_iter().map(entry).collect() }
+            .prop_map(|(source, mark, timestamp, data)| Datagram::Video { source, mark, timestamp, data }),
+        trunk.prop_map(|(timestamp, timed, entries)| {
+            let entry = |(source, timestamp, data)| TrunkEntry {
+                source,
+                timestamp: timed.then_some(timestamp),
+                data,
+            };
+            Datagram::Trunk { timestamp, entries: entries.into_iter().map(entry).collect() }
         }),
     ]
 }
@@ -361,8 +365,8 @@
     #[test]
     fn low_times_become_whole_again_also_across_a_wrap(last in any::<u32>(), step in -16_000..16_000_i32) {
         let whole = last.wrapping_add_signed(step);
-        prop_assert_eq!(frame::whole_time(last, whole as u16, 16), whole);
-        prop_assert_eq!(frame::whole_time(last, whole as u16 & 0x7fff, 15), whole);
+        prop_assert_eq!(frame::full_timestamp(last, whole as u16, 16), whole);
+        prop_assert_eq!(frame::full_timestamp(last, whole as u16 & 0x7fff, 15), whole);
     }
 }
 
