--- a/src/control/replication.rs
+++ b/src/control/replication.rs
@@ -342,7 +342,7 @@
     let source = SourceId(change.source);
     let epoch = change.epoch.map_or_else(|| replica.version().get(source).epoch, Epoch);
     let dot = Dot { source, epoch, number: change.number };
-    let acknowledgement = replica.acknowledged(dot);
+    let acknowledgement = replica.acknowledgement(dot);
     AcknowledgedView {
         change: dot.into(),
         everywhere: acknowledgement.is_everywhere(),
--- a/src/instance/replication.rs
+++ b/src/instance/replication.rs
@@ -77,7 +77,7 @@
             ("received_bytes", counts.received_bytes, 'c'),
             ("dropped", counts.dropped, 'c'),
             ("malformed", counts.malformed, 'c'),
-            ("put_off", counts.put_off, 'c'),
+            ("put_off", counts.deferred, 'c'),
             ("snapshots", counts.snapshots, 'c'),
             ("conflicts", counts.conflicts, 'c'),
             ("rejected", replica.rejected_keys().count() as u64, 'g'),
@@ -117,7 +117,7 @@
 
     fn take_event(&self, instance: &str, event: Event) -> bool {
         match event {
-            Event::InForce { key } => {
+            Event::ValueChanged { key } => {
                 self.reasons.borrow_mut().remove(&key);
                 tracing::info!(instance, key, "replication: in force");
                 return !key.starts_with(MEMBER_PREFIX);
--- a/src/replication/acknowledgement.rs
+++ b/src/replication/acknowledgement.rs
@@ -40,7 +40,7 @@
 
 impl Replica {
     /// How far a change has come; meaningful at a source.
-    pub fn acknowledged(&self, dot: Dot) -> Acknowledgement {
+    pub fn acknowledgement(&self, dot: Dot) -> Acknowledgement {
         let mut acknowledgement = Acknowledgement::default();
         let lacking: Vec<String> = self.residents.lacking(dot).map(str::to_string).collect();
         acknowledgement.add_missing(lacking.len() as u32, lacking.into_iter());
--- a/src/replication/anti_entropy.rs
+++ b/src/replication/anti_entropy.rs
@@ -7,7 +7,7 @@
 use super::message::{MAX_CHANGES, MAX_DATAGRAM};
 use super::snapshot::Pull;
 use super::version::VersionVector;
-use super::{into_datagrams, Event, Replica, TOMBSTONE_KEPT};
+use super::{into_datagrams, Event, Replica, TOMBSTONE_RETENTION};
 use crate::interface::{Span, Time};
 
 /// Changes that a member may lack and still be told one by one; beyond that a snapshot takes fewer bytes.
@@ -27,7 +27,7 @@
     /// Tells one member what there is here.
     pub(super) fn compare_with_a_member(&mut self, now: Time) {
         let spread = 0.75 + self.draw_share() / 2.0;
-        self.next_digest = now.plus(self.config.anti_entropy.share(spread));
+        self.next_digest = now.plus(self.config.anti_entropy_interval.share(spread));
         if !self.ready {
             self.compare_soon(now);
         }
@@ -41,7 +41,7 @@
 
     /// Something is known to be lacking.
     pub(super) fn compare_soon(&mut self, now: Time) {
-        self.next_digest = self.next_digest.min(now.plus(Span(self.config.round.0 * SOON_ROUNDS)));
+        self.next_digest = self.next_digest.min(now.plus(Span(self.config.rumor_interval.0 * SOON_ROUNDS)));
     }
 
     fn digest(&self, reply: bool) -> Message {
@@ -245,7 +245,7 @@
     /// After a time without others that is longer than deleted keys are remembered, keys that were deleted meanwhile
     /// would come back from here: all is discarded but what this source wrote meanwhile.
     pub(super) fn discard_if_away_too_long(&mut self, now: Time) {
-        if now.since(self.last_contact) < TOMBSTONE_KEPT {
+        if now.since(self.last_contact) < TOMBSTONE_RETENTION {
             return;
         }
         let left_millis = self.last_contact.0 / 1_000;
--- a/src/replication/entries.rs
+++ b/src/replication/entries.rs
@@ -16,7 +16,7 @@
 /// Keys that a replica holds at most: sources that do not hear of each other may each fill up.
 const MAX_HELD_ENTRIES: usize = 2 * MAX_ENTRIES;
 /// How long a deleted key is remembered.
-pub const TOMBSTONE_KEPT: Span = Span::from_millis(24 * 3_600 * 1_000);
+pub const TOMBSTONE_RETENTION: Span = Span::from_millis(24 * 3_600 * 1_000);
 
 /// The current change of a key.
 #[derive(Debug)]
@@ -247,5 +247,5 @@
 
 fn is_expired(now: Time, change: &Change) -> bool {
     let age = (now.0 / 1_000).saturating_sub(change.stamp.millis);
-    change.value.is_none() && age > TOMBSTONE_KEPT.0 / 1_000
+    change.value.is_none() && age > TOMBSTONE_RETENTION.0 / 1_000
 }
--- a/src/replication/message.rs
+++ b/src/replication/message.rs
@@ -71,7 +71,7 @@
     },
     /// The sender is neither a member nor a seed, and this is no request to join.
     #[error("{0} is neither a member nor a seed")]
-    Stranger(SocketAddr),
+    UnknownSender(SocketAddr),
 }
 
 /// One change of a key, as a source accepted it.
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -36,7 +36,7 @@
 use crate::interface::{Span, Time};
 pub use acknowledgement::Acknowledgement;
 use entries::{Entries, Merged};
-pub use entries::{MAX_ENTRIES, TOMBSTONE_KEPT};
+pub use entries::{MAX_ENTRIES, TOMBSTONE_RETENTION};
 use log::{ChangeLog, Offered};
 pub use membership::{Member, MemberRecord, MAX_MEMBERS, MEMBER_PREFIX};
 use membership::{Members, Residents};
@@ -91,11 +91,11 @@
     /// How many members a new change is passed on to in a round.
     pub fanout: u16,
     /// The time between two rounds while there is something to pass on.
-    pub round: Span,
+    pub rumor_interval: Span,
     /// The time between two comparisons with another member.
-    pub anti_entropy: Span,
+    pub anti_entropy_interval: Span,
     /// The time between two heartbeats.
-    pub heartbeat: Span,
+    pub heartbeat_interval: Span,
     /// A member that misses so many in a row is removed.
     pub missed_heartbeats: u32,
     /// A source that nobody answers for so long accepts changes by itself.
@@ -120,9 +120,9 @@
             seeds: Vec::new(),
             seed: 0,
             fanout: 3,
-            round: Span::from_millis(50),
-            anti_entropy: Span::from_millis(1_000),
-            heartbeat: Span::from_millis(1_000),
+            rumor_interval: Span::from_millis(50),
+            anti_entropy_interval: Span::from_millis(1_000),
+            heartbeat_interval: Span::from_millis(1_000),
             missed_heartbeats: 8,
             bootstrap_after: Span::from_millis(10_000),
             bytes_per_second: 8_000,
@@ -134,7 +134,7 @@
 impl ReplicaConfig {
     /// A member not heard for so long is gone; half a heartbeat more than the missed ones, for delays.
     fn silence(&self) -> Span {
-        Span(self.heartbeat.0 * u64::from(self.missed_heartbeats) + self.heartbeat.0 / 2)
+        Span(self.heartbeat_interval.0 * u64::from(self.missed_heartbeats) + self.heartbeat_interval.0 / 2)
     }
 }
 
@@ -187,7 +187,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// A key has another value in force here, or none any more.
-    InForce {
+    ValueChanged {
         /// The key.
         key: String,
     },
@@ -245,7 +245,7 @@
     /// Datagrams that cannot be read.
     pub malformed: u64,
     /// Datagrams or rounds put off for want of bytes.
-    pub put_off: u64,
+    pub deferred: u64,
     /// Snapshots pulled.
     pub snapshots: u64,
     /// Changes of a key by two sides that did not know of each other.
@@ -355,7 +355,7 @@
         }
         if !matches!(message, Message::Join(_)) && !self.is_peer(from) {
             self.counts.dropped += 1;
-            return Err(MessageError::Stranger(from));
+            return Err(MessageError::UnknownSender(from));
         }
         self.discard_if_away_too_long(now);
         self.last_contact = now;
@@ -369,14 +369,14 @@
             self.outbox.clear();
             return;
         }
-        if now.since(self.last_poll) > Span(2 * self.config.heartbeat.0) {
+        if now.since(self.last_poll) > Span(2 * self.config.heartbeat_interval.0) {
             // This process stood still: what it did not hear was not silence.
             self.forgive_silence(now);
         }
         self.last_poll = self.last_poll.max(now);
         self.bootstrap(now);
         if now >= self.next_heartbeat {
-            self.next_heartbeat = now.plus(self.config.heartbeat);
+            self.next_heartbeat = now.plus(self.config.heartbeat_interval);
             self.keep_membership(now);
         }
         if now >= self.next_digest {
@@ -570,7 +570,7 @@
         }
         match change.key.strip_prefix(MEMBER_PREFIX) {
             Some(name) => self.member_changed(now, name, change.value.as_deref()),
-            None => self.report(Event::InForce { key: change.key.to_string() }),
+            None => self.report(Event::ValueChanged { key: change.key.to_string() }),
         }
     }
 
@@ -602,15 +602,15 @@
 
     /// Passes the newest changes on to members drawn at random.
     fn pass_on(&mut self, now: Time) {
-        self.next_round = now.plus(self.config.round);
+        self.next_round = now.plus(self.config.rumor_interval);
         let fanout = usize::from(self.config.fanout.max(1));
-        self.rumors.expire(now, Span(RUMOR_COMPARISONS * self.config.anti_entropy.0));
+        self.rumors.expire(now, Span(RUMOR_COMPARISONS * self.config.anti_entropy_interval.0));
         let reserved = self.config.bytes_per_second as usize / RESERVED_PART;
         let available = self.bytes.available(now).saturating_sub(reserved);
         let affordable = (available / fanout).saturating_sub(MAX_DATAGRAM - ROOM_FOR_CHANGES);
         let changes = self.rumors.next_round(affordable.min(ROOM_FOR_CHANGES));
         if changes.is_empty() {
-            self.counts.put_off += u64::from(!self.rumors.is_empty());
+            self.counts.deferred += u64::from(!self.rumors.is_empty());
             return;
         }
         let message = Message::Changes(Changes { changes, more: false, rumor: true });
@@ -656,7 +656,7 @@
         if affordable {
             self.put_out(to, bytes);
         } else {
-            self.counts.put_off += 1;
+            self.counts.deferred += 1;
         }
         affordable
     }
@@ -668,13 +668,13 @@
             self.counts.snapshot_bytes += bytes.len() as u64;
             self.put_out(to, bytes);
         } else {
-            self.counts.put_off += 1;
+            self.counts.deferred += 1;
         }
     }
 
     fn put_out(&mut self, to: SocketAddr, bytes: Vec<u8>) {
         if self.outbox.len() >= MAX_OUTBOX {
-            self.counts.put_off += 1;
+            self.counts.deferred += 1;
             return;
         }
         self.counts.sent += 1;
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -6,7 +6,7 @@
 
 use lockpoint::interface::Span;
 use lockpoint::replication::message::{cluster_tag, Message};
-use lockpoint::replication::{Event, ProposeError, Stamp, MAX_DATAGRAM, TOMBSTONE_KEPT};
+use lockpoint::replication::{Event, ProposeError, Stamp, MAX_DATAGRAM, TOMBSTONE_RETENTION};
 use proptest::prelude::*;
 use replication_support::{config, secs, Links, Net, CLUSTER, REFUSED_VALUE};
 use rstest::rstest;
@@ -109,16 +109,16 @@
     net.refuse(5);
     let first = net.propose(0, "all/y", Some(b"good"));
     net.run(secs(4));
-    let everywhere = net.replica(0).acknowledged(first);
+    let everywhere = net.replica(0).acknowledgement(first);
     assert!(everywhere.is_everywhere(), "{everywhere:?}");
     let second = net.propose(0, "all/y", Some(REFUSED_VALUE));
-    assert!(!net.replica(0).acknowledged(second).is_everywhere());
+    assert!(!net.replica(0).acknowledgement(second).is_everywhere());
     net.run(secs(5));
     assert_eq!(net.replica(4).value("all/y"), Some(&b"good"[..]));
     assert_eq!(net.replica(3).value("all/y"), Some(REFUSED_VALUE));
     assert!(net.agrees(), "the invalid change is held and told on like any other");
     for source in [0, 1] {
-        let told = net.replica(source).acknowledged(second);
+        let told = net.replica(source).acknowledgement(second);
         assert_eq!((told.missing, told.rejecting), (0, 2), "source {source}: {told:?}");
         assert_eq!(told.rejecting_names.len(), 2, "source {source}: {told:?}");
         assert!(told.rejecting_names.iter().all(|name| ["n4", "n5"].contains(&name.as_str())));
@@ -128,7 +128,7 @@
     // A valid one after it is in force everywhere.
     let third = net.propose(1, "all/y", Some(b"better"));
     net.run(secs(5));
-    assert!(net.replica(0).acknowledged(third).is_everywhere());
+    assert!(net.replica(0).acknowledgement(third).is_everywhere());
     assert_eq!(net.replica(4).value("all/y"), Some(&b"better"[..]));
     // What the source itself cannot use is not accepted.
     net.refuse(0);
@@ -146,13 +146,13 @@
     let dot = net.propose(0, "all/z", Some(b"1"));
     net.run(secs(5));
     for source in [0, 1] {
-        let told = net.replica(source).acknowledged(dot);
+        let told = net.replica(source).acknowledgement(dot);
         assert_eq!(told.missing, 1, "source {source}: {told:?}");
         assert_eq!(told.missing_names, ["n5"], "source {source}");
     }
     net.heal();
     net.run(secs(6));
-    (0..2).for_each(|source| assert!(net.replica(source).acknowledged(dot).is_everywhere()));
+    (0..2).for_each(|source| assert!(net.replica(source).acknowledgement(dot).is_everywhere()));
 }
 
 #[test]
@@ -221,9 +221,9 @@
     net.propose(1, "all/deleted", None);
     net.run(secs(3));
     // The others go on; that they are the very same processes a day later takes a jump, not a day of driven time.
-    net.jump(Span(TOMBSTONE_KEPT.0 / 2));
+    net.jump(Span(TOMBSTONE_RETENTION.0 / 2));
     net.run(secs(62));
-    net.jump(Span(TOMBSTONE_KEPT.0 / 2));
+    net.jump(Span(TOMBSTONE_RETENTION.0 / 2));
     net.run(secs(62));
     assert_eq!(net.replica(0).stamp("all/deleted"), None, "the deletion itself is forgotten");
     net.resume(4);
@@ -283,7 +283,7 @@
     }
     let dot = net.propose(1, "all/after", Some(b"1"));
     net.run(secs(4));
-    assert!(net.replica(2).acknowledged(dot).is_everywhere(), "{:?}", net.replica(2).acknowledged(dot));
+    assert!(net.replica(2).acknowledgement(dot).is_everywhere(), "{:?}", net.replica(2).acknowledgement(dot));
 }
 
 #[test]
