--- a/src/replication/anti_entropy.rs
+++ b/src/replication/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Comparing with another member: changes that one lacks, and snapshots where changes are not enough.
+//! Anti-entropy: compares states with another member, and transfers missing changes or, if too many, a snapshot.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,36 +10,37 @@
 use super::{into_datagrams, Event, Replica, TOMBSTONE_RETENTION};
 use crate::interface::{Span, Time};
 
-/// Changes that a member may lack and still be told one by one; beyond that a snapshot takes fewer bytes.
-const MAX_LACKING: usize = 256;
-/// Datagrams of changes in one answer.
-const MAX_ANSWER: usize = 4;
-/// One comparison in so many is made with a seed: members forgotten on both sides find each other again.
-const SEED_DRAWS: f64 = 1.0 / 8.0;
-/// While something is known to be lacking, the next comparison comes after so many rounds.
+/// Maximum number of missing changes that are sent one by one; beyond that a snapshot takes fewer bytes.
+const MAX_MISSING_CHANGES: usize = 256;
+/// Maximum number of datagrams of changes in one answer.
+const MAX_ANSWER_DATAGRAMS: usize = 4;
+/// Probability that a comparison is made with a seed, so that groups of members that have removed each other still
+/// reconnect.
+const SEED_PROBABILITY: f64 = 1.0 / 8.0;
+/// Rumor rounds until the next comparison while changes are known to be missing.
 const SOON_ROUNDS: u64 = 4;
-/// Other members that a snapshot is pulled from besides the one that told the hashes.
-const PULL_HELPERS: usize = 3;
-/// Bytes of a piece that are not entries, with the longest key and vectors of all sources.
-const PIECE_HEAD: usize = 280;
+/// Members from which a snapshot is pulled besides the one that sent the hashes.
+const EXTRA_PULL_MEMBERS: usize = 3;
+/// Maximum bytes of a snapshot piece besides its entries, with the longest key and vectors of all sources.
+const PIECE_OVERHEAD: usize = 280;
 
 impl Replica {
-    /// Tells one member what there is here.
-    pub(super) fn compare_with_a_member(&mut self, now: Time) {
-        let spread = 0.75 + self.draw_share() / 2.0;
+    /// Sends a digest of this replica's state to one member.
+    pub(super) fn start_comparison(&mut self, now: Time) {
+        let spread = 0.75 + self.random_fraction() / 2.0;
         self.next_digest = now.plus(self.config.anti_entropy_interval.share(spread));
         if !self.ready {
             self.compare_soon(now);
         }
-        let from_seeds = self.draw_share() < SEED_DRAWS;
-        let peer = if from_seeds { self.draw_seed() } else { self.draw_peer() };
+        let from_seeds = self.random_fraction() < SEED_PROBABILITY;
+        let peer = if from_seeds { self.random_seed_address() } else { self.random_peer() };
         if let Some(to) = peer {
             let digest = self.digest(false);
             self.send_if_affordable(now, to, &digest);
         }
     }
 
-    /// Something is known to be lacking.
+    /// Schedules the next comparison early, since changes are known to be missing.
     pub(super) fn compare_soon(&mut self, now: Time) {
         self.next_digest = self.next_digest.min(now.plus(Span(self.config.rumor_interval.0 * SOON_ROUNDS)));
     }
@@ -54,9 +55,9 @@
         Message::Hashes(Hashes { vector: self.vector, hashes, ready: self.ready, reply })
     }
 
-    /// A member told what it has.
-    pub(super) fn take_digest(&mut self, now: Time, from: SocketAddr, digest: &Digest) {
-        self.heard_peer(now, digest.ready);
+    /// Handles the digest of a member: sends what the member misses, and asks for what is missing here.
+    pub(super) fn handle_digest(&mut self, now: Time, from: SocketAddr, digest: &Digest) {
+        self.note_peer_readiness(now, digest.ready);
         let ahead = !digest.vector.is_at_least(&self.vector);
         let behind = !self.vector.is_at_least(&digest.vector);
         if behind && !digest.reply {
@@ -64,52 +65,55 @@
             self.send_if_affordable(now, from, &answer);
         }
         if ahead {
-            self.tell_lacking(now, from, &digest.vector);
+            self.send_missing_changes(now, from, &digest.vector);
         } else if !behind && digest.hash != self.entries.hash() {
             let hashes = self.hashes(false);
             self.send_snapshot(now, from, &hashes);
         } else if !behind && digest.ready {
-            self.caught_up();
+            self.mark_caught_up();
         }
     }
 
-    /// Sends the changes that a member lacks, or the hashes if they are too many or not kept any more.
-    fn tell_lacking(&mut self, now: Time, to: SocketAddr, vector: &VersionVector) {
-        let Some(lacking) = self.lacking(vector) else {
+    /// Sends the changes that a member misses, or the partition hashes if the changes are too many or no longer
+    /// retained.
+    fn send_missing_changes(&mut self, now: Time, to: SocketAddr, vector: &VersionVector) {
+        let Some(missing) = self.missing_changes(vector) else {
             let hashes = self.hashes(false);
             self.send_snapshot(now, to, &hashes);
             return;
         };
-        let (datagrams, more) = into_datagrams(lacking.into_iter(), MAX_ANSWER);
+        let (datagrams, more) = into_datagrams(missing.into_iter(), MAX_ANSWER_DATAGRAMS);
         let last = datagrams.len().saturating_sub(1);
-        for (place, changes) in datagrams.into_iter().enumerate() {
-            let message = Message::Changes(Changes { changes, more: more && place == last, rumor: false });
+        for (index, changes) in datagrams.into_iter().enumerate() {
+            let message = Message::Changes(Changes { changes, more: more && index == last, rumor: false });
             if !self.send_if_affordable(now, to, &message) {
                 return;
             }
         }
     }
 
-    fn lacking(&self, vector: &VersionVector) -> Option<Vec<Arc<Change>>> {
-        let mut lacking = Vec::new();
+    /// Returns the changes applied here that `vector` does not include; `None` if they are too many or no longer
+    /// retained.
+    fn missing_changes(&self, vector: &VersionVector) -> Option<Vec<Arc<Change>>> {
+        let mut missing = Vec::new();
         for (source, version) in self.vector.iter() {
             let theirs = vector.get(source);
             if theirs >= version {
                 continue;
             }
-            lacking.extend(self.logs[source.index()].after(theirs)?.cloned());
-            if lacking.len() > MAX_LACKING {
+            missing.extend(self.logs[source.index()].after(theirs)?.cloned());
+            if missing.len() > MAX_MISSING_CHANGES {
                 return None;
             }
         }
-        Some(lacking)
+        Some(missing)
     }
 
-    /// Changes came.
-    pub(super) fn take_changes(&mut self, now: Time, from: SocketAddr, changes: &Changes) {
+    /// Handles a batch of changes.
+    pub(super) fn handle_changes(&mut self, now: Time, from: SocketAddr, changes: &Changes) {
         self.counts.changes_received += changes.changes.len() as u64;
         for change in &changes.changes {
-            self.take_change(now, change, changes.rumor);
+            self.accept_change(now, change, changes.rumor);
         }
         if changes.more {
             let digest = self.digest(false);
@@ -117,20 +121,20 @@
         }
     }
 
-    /// A member told the hashes of its partitions: those that differ are pulled.
-    pub(super) fn take_hashes(&mut self, now: Time, from: SocketAddr, hashes: &Hashes) {
-        self.heard_peer(now, hashes.ready);
-        let differing = self.entries.differing(&hashes.hashes);
+    /// Handles the partition hashes of a member: starts to pull the partitions that differ.
+    pub(super) fn handle_hashes(&mut self, now: Time, from: SocketAddr, hashes: &Hashes) {
+        self.note_peer_readiness(now, hashes.ready);
+        let differing = self.entries.differing_partitions(&hashes.hashes);
         if differing.is_empty() {
-            self.adopt(now, &hashes.vector);
+            self.adopt_vector(now, &hashes.vector);
             if hashes.ready {
-                self.caught_up();
+                self.mark_caught_up();
             }
             return;
         }
         let nothing_new = self.vector.is_at_least(&hashes.vector);
         if nothing_new && !hashes.reply {
-            // Each may hold what the other lacks.
+            // Either side may hold entries that the other misses.
             let answer = self.hashes(true);
             self.send_snapshot(now, from, &answer);
         }
@@ -139,12 +143,12 @@
         }
         let mut members = vec![from];
         if !nothing_new {
-            members.extend((0..PULL_HELPERS).filter_map(|_| self.draw_peer()));
+            members.extend((0..EXTRA_PULL_MEMBERS).filter_map(|_| self.random_peer()));
         }
         self.pull = Some(Pull::new(now, &differing, members, hashes.vector));
     }
 
-    /// Sends the requests of the pull that have fallen due.
+    /// Sends the requests of the current pull that are due, or abandons the pull if it is stuck.
     pub(super) fn continue_pull(&mut self, now: Time) {
         let Some(pull) = &mut self.pull else {
             return;
@@ -158,14 +162,14 @@
         }
     }
 
-    /// A member asks for a piece.
-    pub(super) fn take_piece_request(&mut self, now: Time, from: SocketAddr, request: &PieceRequest) {
-        let mut room = MAX_DATAGRAM - PIECE_HEAD;
+    /// Answers a request for a snapshot piece.
+    pub(super) fn handle_piece_request(&mut self, now: Time, from: SocketAddr, request: &PieceRequest) {
+        let mut room = MAX_DATAGRAM - PIECE_OVERHEAD;
         let mut entries: Vec<Arc<Change>> = Vec::new();
         let mut more = false;
-        for change in self.entries.of_partition(request.partition, &request.after) {
+        for change in self.entries.in_partition(request.partition, &request.after) {
             let length = encoded_length(change);
-            // One always fits: its length is bounded.
+            // A single entry always fits: its length is bounded.
             if !entries.is_empty() && (length > room || entries.len() == MAX_CHANGES) {
                 more = true;
                 break;
@@ -182,19 +186,19 @@
         );
     }
 
-    /// A piece came.
-    pub(super) fn take_piece(&mut self, now: Time, from: SocketAddr, piece: &Piece) {
+    /// Handles a snapshot piece, and completes the pull with the last one.
+    pub(super) fn handle_piece(&mut self, now: Time, from: SocketAddr, piece: &Piece) {
         let Some(pull) = &mut self.pull else {
             return;
         };
-        if !piece.ready && !pull.is_begun_by(from) {
+        if !piece.ready && !pull.was_started_by(from) {
             return;
         }
         let last = piece.entries.last().filter(|_| piece.more).map(|change| change.key.as_ref());
-        if !pull.take(now, piece.partition, &piece.after, last, &piece.vector) {
+        if !pull.accept_piece(now, piece.partition, &piece.after, last, &piece.vector) {
             return;
         }
-        let told = pull.told();
+        let common_vector = pull.common_vector();
         let done = pull.is_done();
         for change in &piece.entries {
             self.apply(now, change);
@@ -202,16 +206,16 @@
         if done {
             self.pull = None;
             self.counts.snapshots += 1;
-            self.adopt(now, &told);
+            self.adopt_vector(now, &common_vector);
             self.compare_soon(now);
             if piece.ready {
-                self.caught_up();
+                self.mark_caught_up();
             }
         }
     }
 
-    /// All that is in `vector` is in the entries.
-    fn adopt(&mut self, now: Time, vector: &VersionVector) {
+    /// Advances the logs to `vector`, since the entries include everything in it.
+    fn adopt_vector(&mut self, now: Time, vector: &VersionVector) {
         for (source, version) in vector.iter() {
             let changes = self.logs[source.index()].advance(version);
             self.vector.set(source, self.logs[source.index()].version());
@@ -221,29 +225,29 @@
         }
     }
 
-    fn heard_peer(&mut self, now: Time, ready: bool) {
+    fn note_peer_readiness(&mut self, now: Time, ready: bool) {
         if ready {
             self.last_ready_peer = now;
         }
     }
 
-    fn caught_up(&mut self) {
+    fn mark_caught_up(&mut self) {
         if !self.ready {
             self.ready = true;
-            self.report(Event::CaughtUp);
+            self.emit(Event::CaughtUp);
         }
     }
 
-    /// A source that nobody answers accepts changes by itself.
-    pub(super) fn bootstrap(&mut self, now: Time) {
+    /// Lets a source accept changes if no caught-up member has answered for `bootstrap_after`.
+    pub(super) fn bootstrap_if_alone(&mut self, now: Time) {
         let alone = now.since(self.last_ready_peer) >= self.config.bootstrap_after;
         if self.config.source.is_some() && !self.ready && alone {
-            self.caught_up();
+            self.mark_caught_up();
         }
     }
 
-    /// After a time without others that is longer than deleted keys are remembered, keys that were deleted meanwhile
-    /// would come back from here: all is discarded but what this source wrote meanwhile.
+    /// Discards the state after an isolation longer than tombstones are retained, since keys deleted in the meantime
+    /// would be resurrected from here. Changes that this source itself wrote during the isolation are kept.
     pub(super) fn discard_if_away_too_long(&mut self, now: Time) {
         if now.since(self.last_contact) < TOMBSTONE_RETENTION {
             return;
--- a/src/replication/entries.rs
+++ b/src/replication/entries.rs
@@ -1,4 +1,4 @@
-//! The current entry of each key, with a hash that does not depend on the order in which changes came.
+//! The current entry of each key, with hashes that do not depend on the order in which changes arrived.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -7,15 +7,16 @@
 use bytes::Bytes;
 use sha2::{Digest as _, Sha256};
 
-use super::message::{first_eight, Change, HASH_LENGTH, PARTITIONS};
+use super::message::{u64_prefix, Change, HASH_LENGTH, PARTITIONS};
 use super::version::Stamp;
 use crate::interface::{Span, Time};
 
-/// Keys that a source lets there be, deleted ones included.
+/// Maximum number of keys up to which a source accepts new ones, deleted keys included.
 pub const MAX_ENTRIES: usize = 16_384;
-/// Keys that a replica holds at most: sources that do not hear of each other may each fill up.
+/// Maximum number of keys that a replica holds. Twice the limit of a source, since sources that are partitioned from
+/// each other may each fill up.
 const MAX_HELD_ENTRIES: usize = 2 * MAX_ENTRIES;
-/// How long a deleted key is remembered.
+/// How long the tombstone of a deleted key is retained.
 pub const TOMBSTONE_RETENTION: Span = Span::from_millis(24 * 3_600 * 1_000);
 
 /// The current change of a key.
@@ -24,19 +25,19 @@
     /// The change with the highest stamp.
     pub change: Arc<Change>,
     hash: u64,
-    /// Set where the change is not valid here.
+    /// Set if the change is not valid here.
     rejected: Option<Box<Rejected>>,
 }
 
-/// What goes on in place of a change that is not valid.
+/// State of an entry whose change is not valid here.
 #[derive(Debug)]
 struct Rejected {
-    /// The value before.
+    /// The previous value, which stays in force.
     in_force: Option<Bytes>,
 }
 
 impl Entry {
-    /// The value in force here.
+    /// Returns the value in force here.
     pub fn in_force(&self) -> Option<&[u8]> {
         match &self.rejected {
             Some(rejected) => rejected.in_force.as_deref(),
@@ -45,28 +46,28 @@
     }
 }
 
-/// What became of a change that was merged.
+/// Result of merging a change.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Merged {
-    /// Held already, or a deletion of long ago.
+pub enum MergeOutcome {
+    /// The change is held already, or is an expired tombstone.
     Unchanged,
-    /// The held one goes before it; `concurrent`: neither writer knew of the other's.
+    /// The held change has a higher stamp.
     Lost {
-        /// The winner.
+        /// Stamp of the held change.
         winner: Stamp,
-        /// Two sides have changed the key without knowing of each other.
+        /// Whether the two changes are concurrent: neither writer knew of the other's change.
         concurrent: bool,
     },
-    /// It is the current one now.
+    /// The change is the current one now.
     Won {
-        /// The one before, if two sides have changed the key without knowing of each other.
+        /// The previous change, if the two are concurrent.
         conflicting: Option<Arc<Change>>,
     },
-    /// There is no room for another key.
+    /// The limit of keys is reached.
     Full,
 }
 
-/// All entries.
+/// The entries of a replica, divided into partitions for comparison.
 #[derive(Debug)]
 pub struct Entries {
     by_key: BTreeMap<Arc<str>, Entry>,
@@ -78,7 +79,7 @@
 }
 
 impl Entries {
-    /// None.
+    /// Creates an empty set of entries.
     pub fn new() -> Entries {
         Entries {
             by_key: BTreeMap::new(),
@@ -89,29 +90,29 @@
         }
     }
 
-    /// How many keys there are, deleted ones included.
+    /// Returns the number of keys, deleted ones included.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// The entry of a key.
+    /// Returns the entry of a key.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         self.by_key.get(key)
     }
 
-    /// Entries whose key begins so, by key.
+    /// Returns the entries whose keys have this prefix, in key order.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Entry)> {
         let from = (Bound::Included(prefix), Bound::Unbounded);
         let begin = self.by_key.range::<str, _>(from).map(|(key, entry)| (key.as_ref(), entry));
         begin.take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// Changes that are current and not valid here.
+    /// Returns the current changes that are not valid here.
     pub fn rejected(&self) -> impl Iterator<Item = &Arc<Change>> {
         self.rejected.iter().filter_map(|key| self.by_key.get(key)).map(|entry| &entry.change)
     }
 
-    /// The hash of all entries.
+    /// Returns the hash of all entries.
     pub fn hash(&self) -> u64 {
         let hash = self
             .hashes
@@ -121,20 +122,20 @@
         hash
     }
 
-    /// The hashes of all partitions as bytes.
+    /// Returns the hashes of all partitions as bytes.
     pub fn partition_hashes(&self) -> Bytes {
         self.hashes.iter().flat_map(|hash| hash.to_be_bytes()).collect()
     }
 
-    /// The partitions whose hash is another than the one in `hashes`.
-    pub fn differing(&self, hashes: &[u8]) -> Vec<u8> {
-        let theirs = hashes.chunks(HASH_LENGTH).map(first_eight);
+    /// Returns the partitions whose hashes differ from those in `hashes`.
+    pub fn differing_partitions(&self, hashes: &[u8]) -> Vec<u8> {
+        let theirs = hashes.chunks(HASH_LENGTH).map(u64_prefix);
         let pairs = (0u8..).zip(self.hashes.iter().zip(theirs));
         pairs.filter(|(_, (mine, theirs))| **mine != *theirs).map(|(partition, _)| partition).collect()
     }
 
-    /// The entries of a partition after a key, by key.
-    pub fn of_partition<'a>(
+    /// Returns the changes of a partition whose keys come after `after`, in key order.
+    pub fn in_partition<'a>(
         &'a self,
         partition: u8,
         after: &'a str,
@@ -144,39 +145,39 @@
         keys.range::<str, _>(from).filter_map(|key| self.by_key.get(key)).map(|entry| &entry.change)
     }
 
-    /// Takes a change, whatever the order in which changes come: the highest stamp stays. `valid` says whether it may be
-    /// in force here.
-    pub fn merge(&mut self, now: Time, change: &Arc<Change>, valid: bool) -> Merged {
+    /// Merges a change: the highest stamp wins, regardless of the order of arrival. `valid` says whether the change may
+    /// be in force here.
+    pub fn merge(&mut self, now: Time, change: &Arc<Change>, valid: bool) -> MergeOutcome {
         let Some(held) = self.by_key.get(&change.key) else {
             return self.insert_first(now, change, valid);
         };
         let before = held.change.clone();
         if before.stamp == change.stamp {
-            return Merged::Unchanged;
+            return MergeOutcome::Unchanged;
         }
         if before.stamp > change.stamp {
             let concurrent = !before.has_seen(change.stamp.dot);
-            return Merged::Lost { winner: before.stamp, concurrent };
+            return MergeOutcome::Lost { winner: before.stamp, concurrent };
         }
         let in_force = held.in_force().map(Bytes::copy_from_slice);
         self.remove(&change.key);
         self.insert(change, valid, in_force);
         let conflicting = (!change.has_seen(before.stamp.dot)).then_some(before);
-        Merged::Won { conflicting }
+        MergeOutcome::Won { conflicting }
     }
 
-    fn insert_first(&mut self, now: Time, change: &Arc<Change>, valid: bool) -> Merged {
+    fn insert_first(&mut self, now: Time, change: &Arc<Change>, valid: bool) -> MergeOutcome {
         if is_expired(now, change) {
-            return Merged::Unchanged;
+            return MergeOutcome::Unchanged;
         }
         if self.by_key.len() >= MAX_HELD_ENTRIES {
-            return Merged::Full;
+            return MergeOutcome::Full;
         }
         self.insert(change, valid, None);
-        Merged::Won { conflicting: None }
+        MergeOutcome::Won { conflicting: None }
     }
 
-    /// Forgets the keys deleted long ago.
+    /// Removes expired tombstones.
     pub fn expire(&mut self, now: Time) {
         while let Some((_, key)) = self.deleted.first().cloned() {
             if !self.by_key.get(&key).is_some_and(|entry| is_expired(now, &entry.change)) {
@@ -186,15 +187,15 @@
         }
     }
 
-    /// Keeps only the entries whose change `keeps`.
-    pub fn retain(&mut self, keeps: impl Fn(&Change) -> bool) {
-        let gone: Vec<Arc<str>> = self
+    /// Keeps only the entries whose change satisfies the predicate.
+    pub fn retain(&mut self, predicate: impl Fn(&Change) -> bool) {
+        let removed: Vec<Arc<str>> = self
             .by_key
             .iter()
-            .filter(|(_, entry)| !keeps(&entry.change))
+            .filter(|(_, entry)| !predicate(&entry.change))
             .map(|(key, _)| key.clone())
             .collect();
-        gone.iter().for_each(|key| self.remove(key));
+        removed.iter().for_each(|key| self.remove(key));
     }
 
     fn insert(&mut self, change: &Arc<Change>, valid: bool, in_force: Option<Bytes>) {
@@ -225,7 +226,7 @@
     }
 }
 
-/// The partition of a key, by the FNV-1a hash of its bytes.
+/// Returns the partition of a key, by the FNV-1a hash of its bytes.
 fn partition_of(key: &str) -> usize {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -242,7 +243,7 @@
     hash.update(change.stamp.dot.epoch.0.to_be_bytes());
     hash.update(change.stamp.dot.number.to_be_bytes());
     hash.update(change.value.as_deref().unwrap_or_default());
-    first_eight(&hash.finalize())
+    u64_prefix(&hash.finalize())
 }
 
 fn is_expired(now: Time, change: &Change) -> bool {
--- a/src/replication/log.rs
+++ b/src/replication/log.rs
@@ -1,4 +1,4 @@
-//! The log of one source: the latest changes applied, in order, and those that came early.
+//! The log of one source: the latest applied changes in order, and changes that arrived out of order.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -6,21 +6,21 @@
 use super::message::Change;
 use super::version::SourceVersion;
 
-/// Changes of one log that are kept to be told to those who lack them.
+/// Applied changes of a log that are retained for members that miss them.
 pub const MAX_LOG_CHANGES: usize = 512;
-/// Changes of one log that wait for an earlier one.
-pub const MAX_EARLY_CHANGES: usize = 64;
+/// Maximum number of changes of a log that wait for a missing earlier one.
+pub const MAX_OUT_OF_ORDER_CHANGES: usize = 64;
 
-/// What became of a change that was offered to the log.
+/// Result of offering a change to the log.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Offered {
-    /// Applied before.
+pub enum OfferOutcome {
+    /// The change was applied before, or waits already.
     Known,
-    /// Of an epoch that is over: it belongs to no log any more.
-    FormerEpoch,
-    /// An earlier one is lacking; it waits, if there was room.
-    Early,
-    /// These are to be applied now, in this order.
+    /// The change is from an earlier epoch, whose log is no longer held.
+    PastEpoch,
+    /// An earlier change is missing; this one waits for it, if there was room.
+    OutOfOrder,
+    /// These changes must be applied now, in this order.
     Ready(Vec<Arc<Change>>),
 }
 
@@ -28,66 +28,68 @@
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     version: SourceVersion,
-    /// Ends with the change of that version.
+    /// The latest applied changes; the last one has the number of `version`.
     changes: VecDeque<Arc<Change>>,
-    early: BTreeMap<u32, Arc<Change>>,
+    out_of_order: BTreeMap<u32, Arc<Change>>,
 }
 
 impl ChangeLog {
-    /// The last change applied.
+    /// Returns the version of the last change applied.
     pub fn version(&self) -> SourceVersion {
         self.version
     }
 
-    /// Takes a change, in whatever order they come.
-    pub fn offer(&mut self, change: &Arc<Change>) -> Offered {
+    /// Offers a change to the log; changes may arrive in any order.
+    pub fn offer(&mut self, change: &Arc<Change>) -> OfferOutcome {
         let dot = change.stamp.dot;
         if dot.epoch < self.version.epoch {
-            return Offered::FormerEpoch;
+            return OfferOutcome::PastEpoch;
         }
         if dot.epoch > self.version.epoch {
             *self =
                 ChangeLog { version: SourceVersion { epoch: dot.epoch, number: 0 }, ..ChangeLog::default() };
         }
         if dot.number <= self.version.number {
-            return Offered::Known;
+            return OfferOutcome::Known;
         }
         if dot.number > self.version.number + 1 {
-            if self.early.contains_key(&dot.number) {
-                return Offered::Known;
+            if self.out_of_order.contains_key(&dot.number) {
+                return OfferOutcome::Known;
             }
-            if self.early.len() < MAX_EARLY_CHANGES {
-                self.early.insert(dot.number, change.clone());
+            if self.out_of_order.len() < MAX_OUT_OF_ORDER_CHANGES {
+                self.out_of_order.insert(dot.number, change.clone());
             }
-            return Offered::Early;
+            return OfferOutcome::OutOfOrder;
         }
         let mut ready = vec![change.clone()];
         self.append(change.clone());
-        self.take_early(&mut ready);
-        Offered::Ready(ready)
+        self.append_contiguous(&mut ready);
+        OfferOutcome::Ready(ready)
     }
 
-    /// Everything up to `version` has been applied by way of a snapshot; those that may be applied now.
+    /// Moves the log to `version` after a snapshot included everything up to it; returns the waiting changes that can
+    /// be applied now.
     pub fn advance(&mut self, version: SourceVersion) -> Vec<Arc<Change>> {
         if version <= self.version {
             return Vec::new();
         }
-        let early = std::mem::take(&mut self.early);
+        let out_of_order = std::mem::take(&mut self.out_of_order);
         let same_epoch = version.epoch == self.version.epoch;
         *self = ChangeLog { version, ..ChangeLog::default() };
         if same_epoch {
-            self.early = early.into_iter().filter(|(number, _)| *number > version.number).collect();
+            self.out_of_order =
+                out_of_order.into_iter().filter(|(number, _)| *number > version.number).collect();
         }
         let mut ready = Vec::new();
-        self.take_early(&mut ready);
+        self.append_contiguous(&mut ready);
         ready
     }
 
-    /// The changes after `version`, if all of them are still kept.
+    /// Returns the changes after `version`, if all of them are still retained.
     pub fn after(&self, version: SourceVersion) -> Option<impl Iterator<Item = &Arc<Change>>> {
         let from = if version.epoch == self.version.epoch { version.number } else { 0 };
-        let lacking = self.version.number.saturating_sub(from) as usize;
-        let skipped = self.changes.len().checked_sub(lacking)?;
+        let missing = self.version.number.saturating_sub(from) as usize;
+        let skipped = self.changes.len().checked_sub(missing)?;
         Some(self.changes.iter().skip(skipped))
     }
 
@@ -99,8 +101,9 @@
         self.changes.push_back(change);
     }
 
-    fn take_early(&mut self, ready: &mut Vec<Arc<Change>>) {
-        while let Some(change) = self.early.remove(&(self.version.number + 1)) {
+    /// Appends the waiting changes that directly follow the last applied one.
+    fn append_contiguous(&mut self, ready: &mut Vec<Arc<Change>>) {
+        while let Some(change) = self.out_of_order.remove(&(self.version.number + 1)) {
             ready.push(change.clone());
             self.append(change);
         }
--- a/src/replication/membership.rs
+++ b/src/replication/membership.rs
@@ -1,4 +1,4 @@
-//! The members known, and what a home source knows of its own.
+//! The member list, and a home source's records of the members that send it heartbeats.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -11,33 +11,33 @@
 use super::version::{Dot, SourceId, VersionVector, MAX_SOURCES};
 use crate::interface::{Span, Time};
 
-/// Members that there can be.
+/// Maximum number of members.
 pub const MAX_MEMBERS: usize = 8_192;
-/// What the keys of members begin with.
+/// Prefix of the keys of member records.
 pub const MEMBER_PREFIX: &str = "member/";
 
-/// The value of `member/NAME`.
+/// A member's record: the value of the key `member/NAME`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Where it sends from and is reached.
+    /// Address from which it sends and at which others reach it.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region of the member.
     pub region: Box<str>,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: Box<str>,
-    /// Its service.
+    /// Service of the member.
     pub service: Box<str>,
-    /// Its incarnation.
+    /// Incarnation of its process.
     pub incarnation: u32,
-    /// The source that hears its heartbeats.
+    /// Home source: the one that receives its heartbeats.
     pub home: SourceId,
-    /// Its number, if it is a source itself.
+    /// Source number, if it is a source itself.
     pub source: Option<SourceId>,
 }
 
 impl MemberRecord {
-    /// Reads the value of a member's key.
-    pub fn read(value: &[u8]) -> Option<MemberRecord> {
+    /// Decodes the value of a member's key; `None` if it is malformed or names a source out of range.
+    pub fn decode(value: &[u8]) -> Option<MemberRecord> {
         let record: MemberRecord = serde_json::from_slice(value).ok()?;
         let sources = [Some(record.home), record.source];
         sources.into_iter().flatten().all(|source| usize::from(source.0) < MAX_SOURCES).then_some(record)
@@ -47,125 +47,126 @@
 /// A member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Unique name.
     pub name: Box<str>,
-    /// What else is known of it.
+    /// Its record.
     pub record: MemberRecord,
 }
 
-/// The members known, with an index by name and by address.
+/// The member list, indexed by name and by address.
 #[derive(Debug, Default)]
 pub struct Members {
     list: Vec<Member>,
     by_name: HashMap<Box<str>, u32>,
     by_address: HashMap<SocketAddr, u32>,
-    homes: [u32; MAX_SOURCES],
+    home_counts: [u32; MAX_SOURCES],
     sources: [Option<SocketAddr>; MAX_SOURCES],
 }
 
 impl Members {
-    /// How many there are.
+    /// Returns the number of members.
     pub fn len(&self) -> usize {
         self.list.len()
     }
 
-    /// All of them.
+    /// Returns all members.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.list.iter()
     }
 
-    /// The member of that name.
+    /// Returns the member with this name.
     pub fn get(&self, name: &str) -> Option<&Member> {
-        self.by_name.get(name).map(|place| &self.list[*place as usize])
+        self.by_name.get(name).map(|index| &self.list[*index as usize])
     }
 
-    /// The member at an address.
-    pub fn at(&self, address: SocketAddr) -> Option<&Member> {
-        self.by_address.get(&address).map(|place| &self.list[*place as usize])
+    /// Returns the member at this address.
+    pub fn by_address(&self, address: SocketAddr) -> Option<&Member> {
+        self.by_address.get(&address).map(|index| &self.list[*index as usize])
     }
 
-    /// Members whose home is that source.
-    pub fn at_home(&self, source: SourceId) -> u32 {
-        self.homes[source.index()]
+    /// Returns the number of members whose home is this source.
+    pub fn count_with_home(&self, source: SourceId) -> u32 {
+        self.home_counts[source.index()]
     }
 
-    /// Where a source is reached.
+    /// Returns the address of a source, if it is a member.
     pub fn source_address(&self, source: SourceId) -> Option<SocketAddr> {
         self.sources[source.index()]
     }
 
-    /// Where the sources that are members are reached.
+    /// Returns the addresses of the sources that are members.
     pub fn source_addresses(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.sources.iter().flatten().copied()
     }
 
-    /// Puts a member in or replaces its record; whether it is new.
-    pub fn put(&mut self, name: &str, record: MemberRecord) -> bool {
+    /// Inserts a member or replaces its record; returns whether it is new.
+    pub fn upsert(&mut self, name: &str, record: MemberRecord) -> bool {
         if let Some(source) = record.source {
             self.sources[source.index()] = Some(record.address);
         }
         let is_new = match self.by_name.get(name) {
-            Some(place) => {
-                let place = *place;
-                let before = std::mem::replace(&mut self.list[place as usize].record, record.clone());
-                self.homes[before.home.index()] -= 1;
+            Some(index) => {
+                let index = *index;
+                let before = std::mem::replace(&mut self.list[index as usize].record, record.clone());
+                self.home_counts[before.home.index()] -= 1;
                 if before.address != record.address {
-                    self.forget_address(before.address, place);
-                    self.by_address.insert(record.address, place);
+                    self.reindex_address(before.address, index);
+                    self.by_address.insert(record.address, index);
                 }
                 false
             }
             None if self.list.len() >= MAX_MEMBERS => return false,
             None => {
-                let place = self.list.len() as u32;
-                self.by_name.insert(name.into(), place);
-                self.by_address.insert(record.address, place);
+                let index = self.list.len() as u32;
+                self.by_name.insert(name.into(), index);
+                self.by_address.insert(record.address, index);
                 self.list.push(Member { name: name.into(), record: record.clone() });
                 true
             }
         };
-        self.homes[record.home.index()] += 1;
+        self.home_counts[record.home.index()] += 1;
         is_new
     }
 
-    /// Takes a member out; whether there was one.
+    /// Removes a member; returns whether there was one.
     pub fn remove(&mut self, name: &str) -> bool {
-        let Some(place) = self.by_name.remove(name) else {
+        let Some(index) = self.by_name.remove(name) else {
             return false;
         };
-        let member = self.list.swap_remove(place as usize);
-        self.homes[member.record.home.index()] -= 1;
+        let member = self.list.swap_remove(index as usize);
+        self.home_counts[member.record.home.index()] -= 1;
         if let Some(source) = member.record.source {
             self.sources[source.index()].take_if(|address| *address == member.record.address);
         }
-        if let Some(moved) = self.list.get(place as usize) {
+        if let Some(moved) = self.list.get(index as usize) {
             let former = self.list.len() as u32;
-            self.by_name.insert(moved.name.clone(), place);
+            self.by_name.insert(moved.name.clone(), index);
             if self.by_address.get(&moved.record.address) == Some(&former) {
-                self.by_address.insert(moved.record.address, place);
+                self.by_address.insert(moved.record.address, index);
             }
         }
-        self.forget_address(member.record.address, place);
+        self.reindex_address(member.record.address, index);
         true
     }
 
-    /// An address drawn at random, other than `own`.
-    pub fn draw(&self, rng: &mut Pcg32, own: SocketAddr) -> Option<SocketAddr> {
+    /// Returns the address of a random member, other than `own`.
+    pub fn random_address(&self, rng: &mut Pcg32, own: SocketAddr) -> Option<SocketAddr> {
         if self.list.is_empty() {
             return None;
         }
-        let place = rng.next_u32() as usize % self.list.len();
-        let address = self.list[place].record.address;
+        let index = rng.next_u32() as usize % self.list.len();
+        let address = self.list[index].record.address;
         if address != own {
             return Some(address);
         }
-        let next = self.list[(place + 1) % self.list.len()].record.address;
+        let next = self.list[(index + 1) % self.list.len()].record.address;
         (next != own).then_some(next)
     }
 
-    /// The address no longer leads to the member at `place`; another member of the same address is found instead.
-    fn forget_address(&mut self, address: SocketAddr, place: u32) {
-        if self.by_address.get(&address) != Some(&place) {
+    /// Removes the index entry of an address if it points to the member at `index`; it then points to another member
+    /// with the same address, if there is one.
+    fn reindex_address(&mut self, address: SocketAddr, index: u32) {
+        if self.by_address.get(&address) != Some(&index) {
             return;
         }
         let other = self.list.iter().position(|member| member.record.address == address);
@@ -176,87 +177,87 @@
     }
 }
 
-/// What a home source knows of one of its members.
+/// Last known state of a member whose home is this source.
 #[derive(Debug)]
-struct Resident {
-    heard: Time,
+struct HomeMember {
+    last_heard: Time,
     vector: VersionVector,
     rejected: Vec<Dot>,
 }
 
-/// What a source knows of the members whose home it is.
+/// The members whose home is this source, with the state from their heartbeats.
 #[derive(Debug, Default)]
-pub struct Residents {
-    by_name: BTreeMap<Box<str>, Resident>,
+pub struct HomeMembers {
+    by_name: BTreeMap<Box<str>, HomeMember>,
 }
 
-impl Residents {
-    /// A member has this source as its home from now on.
-    pub fn admit(&mut self, now: Time, name: &str) {
-        let fresh = Resident { heard: now, vector: VersionVector::default(), rejected: Vec::new() };
-        self.by_name.entry(name.into()).or_insert(fresh).heard = now;
+impl HomeMembers {
+    /// Adds a member whose home is now this source, or resets its silence if it is there already.
+    pub fn add(&mut self, now: Time, name: &str) {
+        let initial = HomeMember { last_heard: now, vector: VersionVector::default(), rejected: Vec::new() };
+        self.by_name.entry(name.into()).or_insert(initial).last_heard = now;
     }
 
-    /// A member is gone or has another home.
-    pub fn dismiss(&mut self, name: &str) {
+    /// Removes a member that is gone or has another home.
+    pub fn remove(&mut self, name: &str) {
         self.by_name.remove(name);
     }
 
-    /// Whether the member has this source as its home.
+    /// Returns whether the member's home is this source.
     pub fn contains(&self, name: &str) -> bool {
         self.by_name.contains_key(name)
     }
 
-    /// A heartbeat of a member came.
-    pub fn heard(&mut self, now: Time, name: &str, vector: VersionVector, rejected: Vec<Dot>) {
-        if let Some(resident) = self.by_name.get_mut(name) {
-            *resident = Resident { heard: now, vector, rejected };
+    /// Records a heartbeat of a member.
+    pub fn record_heartbeat(&mut self, now: Time, name: &str, vector: VersionVector, rejected: Vec<Dot>) {
+        if let Some(member) = self.by_name.get_mut(name) {
+            *member = HomeMember { last_heard: now, vector, rejected };
         }
     }
 
-    /// All are taken to have been heard now.
-    pub fn reset(&mut self, now: Time) {
-        self.by_name.values_mut().for_each(|resident| resident.heard = now);
+    /// Restarts the silence time of all members, as if each had just sent a heartbeat.
+    pub fn reset_silence(&mut self, now: Time) {
+        self.by_name.values_mut().for_each(|member| member.last_heard = now);
     }
 
-    /// Whether the member was heard within `span`.
+    /// Returns whether the member sent a heartbeat within `span`.
     pub fn is_alive(&self, now: Time, name: &str, span: Span) -> bool {
-        self.by_name.get(name).is_some_and(|resident| now.since(resident.heard) < span)
+        self.by_name.get(name).is_some_and(|member| now.since(member.last_heard) < span)
     }
 
-    /// Those not heard for `span`.
+    /// Returns the members without a heartbeat for `span` or longer.
     pub fn silent(&self, now: Time, span: Span) -> Vec<Box<str>> {
-        let silent = self.by_name.iter().filter(|(_, resident)| now.since(resident.heard) >= span);
+        let silent = self.by_name.iter().filter(|(_, member)| now.since(member.last_heard) >= span);
         silent.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Those that have not applied a change.
-    pub fn lacking(&self, dot: Dot) -> impl Iterator<Item = &str> {
+    /// Returns the members that have not applied a change.
+    pub fn missing(&self, dot: Dot) -> impl Iterator<Item = &str> {
         self.by_name
             .iter()
-            .filter(move |(_, resident)| !resident.vector.covers(dot))
+            .filter(move |(_, member)| !member.vector.covers(dot))
             .map(|(name, _)| name.as_ref())
     }
 
-    /// Those that do not use a change.
+    /// Returns the members that reject a change as invalid.
     pub fn rejecting(&self, dot: Dot) -> impl Iterator<Item = &str> {
-        let rejecting = self.by_name.iter().filter(move |(_, resident)| resident.rejected.contains(&dot));
+        let rejecting = self.by_name.iter().filter(move |(_, member)| member.rejected.contains(&dot));
         rejecting.map(|(name, _)| name.as_ref())
     }
 
-    /// What the other sources are told of them; `vector` is what the source itself has applied.
+    /// Builds the summary for the other sources; `vector` is what this source itself has applied.
     pub fn summary(&self, vector: &VersionVector) -> Summary {
         let mut summary =
             Summary { members: self.by_name.len() as u32, least: *vector, ..Summary::default() };
-        for (name, resident) in &self.by_name {
-            summary.least = summary.least.lower(&resident.vector);
-            if !resident.vector.is_at_least(vector) {
+        for (name, member) in &self.by_name {
+            summary.least = summary.least.lower(&member.vector);
+            if !member.vector.is_at_least(vector) {
                 summary.behind += 1;
                 if summary.names.len() < MAX_LISTED_NAMES {
                     summary.names.push(name.to_string());
                 }
             }
-            resident.rejected.iter().for_each(|dot| count_rejection(&mut summary.rejected, *dot, name));
+            member.rejected.iter().for_each(|dot| count_rejection(&mut summary.rejected, *dot, name));
         }
         summary
     }
--- a/src/replication/message.rs
+++ b/src/replication/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams: a version byte, a kind byte, the tag of the cluster, and a body in MessagePack.
+//! Datagram format: a version byte, a kind byte, the tag of the cluster, and a MessagePack body.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,91 +10,92 @@
 
 use super::version::{Dot, SourceId, Stamp, VersionVector, MAX_SOURCES};
 
-/// The version byte that every datagram begins with.
+/// Protocol version, the first byte of every datagram.
 pub const WIRE_VERSION: u8 = 0x10;
-/// Bytes that a datagram holds at most.
+/// Maximum length of a datagram in bytes.
 pub const MAX_DATAGRAM: usize = 1_200;
-/// Bytes of a key at most.
+/// Maximum length of a key in bytes.
 pub const MAX_KEY_LENGTH: usize = 128;
-/// Bytes of a value at most: with the longest key and vectors of all sources it still fits one datagram.
+/// Maximum length of a value in bytes. With the longest key and vectors of all sources it still fits one datagram.
 pub const MAX_VALUE_LENGTH: usize = 768;
-/// Bytes of a name (of a member, region, zone or service) at most.
+/// Maximum length in bytes of the name of a member, region, zone or service.
 pub const MAX_NAME_LENGTH: usize = 64;
-/// Names that a message lists at most.
+/// Maximum number of names listed in a message.
 pub const MAX_LISTED_NAMES: usize = 8;
-/// Rejected changes that a message lists at most.
+/// Maximum number of rejected changes listed in a message.
 pub const MAX_LISTED_REJECTIONS: usize = 4;
-/// Addresses that a welcome lists at most.
+/// Maximum number of addresses listed in a welcome.
 pub const MAX_LISTED_PEERS: usize = 8;
-/// Changes that one message holds at most.
+/// Maximum number of changes in one message.
 pub const MAX_CHANGES: usize = 64;
-/// Parts into which the keys are divided for comparison by hash.
+/// Number of partitions of the key space for comparison by hash.
 pub const PARTITIONS: usize = 128;
 
 const HEADER_LENGTH: usize = 10;
-/// Bytes of one partition's hash.
+/// Length of a partition's hash in bytes.
 pub const HASH_LENGTH: usize = 8;
 
-/// Why a datagram was not taken.
+/// Reason why a datagram was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than a datagram may be.
-    #[error("{0} bytes, {MAX_DATAGRAM} at most")]
+    /// Longer than [`MAX_DATAGRAM`].
+    #[error("datagram of {0} bytes exceeds the limit of {MAX_DATAGRAM} bytes")]
     TooLong(usize),
     /// Shorter than the header.
-    #[error("{0} bytes are no datagram")]
+    #[error("datagram of {0} bytes is shorter than its header")]
     TooShort(usize),
-    /// Not this version of the protocol.
-    #[error("version {0:#04x} is not {WIRE_VERSION:#04x}")]
+    /// Unsupported protocol version.
+    #[error("unsupported protocol version {0:#04x}, expected {WIRE_VERSION:#04x}")]
     Version(u8),
-    /// Of another cluster.
-    #[error("of another cluster")]
+    /// Sent by a member of another cluster.
+    #[error("datagram belongs to another cluster")]
     OtherCluster,
-    /// A kind of message that does not exist.
-    #[error("kind {0} of message does not exist")]
+    /// Unknown message kind.
+    #[error("unknown message kind {0}")]
     Kind(u8),
-    /// The body is not what its kind says.
+    /// The body cannot be decoded as a message of its kind.
     #[error("{kind}: {why}")]
     Body {
         /// The kind of message.
         kind: &'static str,
-        /// What is wrong.
+        /// Error of the decoder.
         why: String,
     },
-    /// A field holds what cannot be.
-    #[error("{kind}: {field} out of bounds")]
+    /// A field holds a value out of its bounds.
+    #[error("{kind}: field {field} is out of bounds")]
     Field {
         /// The kind of message.
         kind: &'static str,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
     },
-    /// The sender is neither a member nor a seed, and this is no request to join.
-    #[error("{0} is neither a member nor a seed")]
+    /// The sender is neither a member nor a seed, and the message is not a join request.
+    #[error("sender {0} is neither a member nor a seed")]
     UnknownSender(SocketAddr),
 }
 
-/// One change of a key, as a source accepted it.
+/// A change of a key that a source accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The key.
     pub key: Arc<str>,
-    /// The value; none: the key is deleted.
+    /// The new value; `None` deletes the key.
     pub value: Option<Bytes>,
-    /// Time and identity.
+    /// Time and identity of the change.
     pub stamp: Stamp,
-    /// The latest changes of this key, one a source, that the writer knew of.
+    /// Causal history: for each source, the latest change of this key that the writer knew of.
     pub seen: Box<[Dot]>,
 }
 
 impl Change {
-    /// Whether its writer knew of the other change of the same key.
+    /// Returns whether the writer knew of another change of the same key.
     pub fn has_seen(&self, other: Dot) -> bool {
         self.seen.iter().any(|dot| dot.source == other.source && dot.version() >= other.version())
             || (self.stamp.dot.source == other.source && self.stamp.dot.version() >= other.version())
     }
 
-    fn wrong_field(&self) -> Option<&'static str> {
+    /// Returns the name of the first field that is out of bounds.
+    fn invalid_field(&self) -> Option<&'static str> {
         if self.key.is_empty() || self.key.len() > MAX_KEY_LENGTH {
             return Some("key");
         }
@@ -109,158 +110,158 @@
     }
 }
 
-/// A controller asks a source to be a member.
+/// Request of a controller to a source to become a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Join {
-    /// Its name.
+    /// Name of the controller.
     pub name: String,
-    /// Its region.
+    /// Region of the controller.
     pub region: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Its service.
+    /// Service of the controller.
     pub service: String,
-    /// Its incarnation: a higher one replaces a lower one.
+    /// Incarnation of the process; a higher one replaces a lower one.
     pub incarnation: u32,
-    /// Its number, if it is a source itself.
+    /// Source number, if the controller is a source itself.
     pub source: Option<SourceId>,
 }
 
-/// The source has made it a member.
+/// Answer to a join: the controller is now a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// The incarnation that joined.
     pub incarnation: u32,
-    /// The source that hears its heartbeats from now on.
+    /// The source that receives its heartbeats from now on.
     pub home: SourceId,
-    /// Some members to begin with.
+    /// Addresses of some members, to start gossip with.
     pub peers: Vec<SocketAddr>,
 }
 
-/// Another process of this name is a member, with this incarnation.
+/// Answer to a join: another process of this name is a member already.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoinRefused {
-    /// The incarnation known.
+    /// Incarnation of that member.
     pub known: u32,
 }
 
-/// A member tells its home source that it lives and what is in force.
+/// Periodic report of a member to its home source: it is alive, and which changes it has applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u32,
-    /// What it has applied.
+    /// Version vector of the changes that the sender has applied.
     pub vector: VersionVector,
-    /// Changes that it holds and does not use, since they are not valid for it.
+    /// Changes that the sender holds but does not use, since they are not valid for it.
     pub rejected: Vec<Dot>,
 }
 
-/// The home source heard a heartbeat.
+/// Acknowledgement of a heartbeat by the home source.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatAck {
-    /// The incarnation heard.
+    /// Incarnation from the heartbeat.
     pub incarnation: u32,
 }
 
-/// A member goes.
+/// Notice that a member leaves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leave {
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u32,
 }
 
-/// A change that some members do not use.
+/// A change that some members reject as invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
     /// The change.
     pub dot: Dot,
-    /// By how many.
+    /// Number of members that reject it.
     pub count: u32,
-    /// One of them.
+    /// Name of one of them.
     pub name: String,
 }
 
-/// A source tells the other sources how far its members are.
+/// Periodic report of a source to the other sources on the progress of its members.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Summary {
-    /// The source that tells.
+    /// The source that sends the summary.
     pub source: SourceId,
-    /// Members whose home it is.
+    /// Number of members whose home it is.
     pub members: u32,
-    /// What all of them have applied.
+    /// Greatest common version: what all of those members have applied.
     pub least: VersionVector,
-    /// Members that have not applied all that the source has.
+    /// Number of those members that have not applied everything that the source has.
     pub behind: u32,
-    /// Some of those.
+    /// Names of some members that are behind.
     pub names: Vec<String>,
-    /// Changes that some of its members do not use.
+    /// Changes that some of those members reject as invalid.
     pub rejected: Vec<Rejection>,
 }
 
-/// Changes, in the order of their logs.
+/// A batch of changes, in the order of their logs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
     /// The changes.
     pub changes: Vec<Arc<Change>>,
-    /// The sender has more for the receiver, which is to ask again.
+    /// The sender has more changes; the receiver should send a digest to get them.
     pub more: bool,
-    /// They are new, and passed on by whoever hears them first.
+    /// The changes are new: a replica that receives them for the first time forwards them.
     pub rumor: bool,
 }
 
-/// What the sender has.
+/// Summary of the sender's state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// What it has applied.
+    /// Version vector of the changes that the sender has applied.
     pub vector: VersionVector,
-    /// The hash of all entries.
+    /// Hash of all entries.
     pub hash: u64,
-    /// It has caught up with the others.
+    /// Whether the sender has caught up with the others.
     pub ready: bool,
-    /// This answers a digest and is not to be answered by another.
+    /// This answers a digest and must not be answered by another digest.
     pub reply: bool,
 }
 
-/// The hashes of all partitions: whoever holds others pulls those that differ.
+/// Hashes of all partitions; the receiver pulls the partitions whose hashes differ.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hashes {
-    /// What the sender has applied.
+    /// Version vector of the changes that the sender has applied.
     pub vector: VersionVector,
     /// [`PARTITIONS`] hashes of [`HASH_LENGTH`] bytes.
     pub hashes: Bytes,
-    /// It has caught up with the others.
+    /// Whether the sender has caught up with the others.
     pub ready: bool,
-    /// This answers hashes and is not to be answered by others.
+    /// This answers hashes and must not be answered by further hashes.
     pub reply: bool,
 }
 
-/// Asks for a piece of the snapshot.
+/// Request for a piece of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceRequest {
     /// The partition.
     pub partition: u8,
-    /// The last key that the asker has; empty: from the first on.
+    /// The last key that the requester has of the partition; empty to start with the first key.
     pub after: String,
 }
 
-/// A piece of the snapshot.
+/// A piece of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// The partition.
     pub partition: u8,
-    /// As asked.
+    /// The key from the request.
     pub after: String,
-    /// What the sender has applied.
+    /// Version vector of the changes that the sender has applied.
     pub vector: VersionVector,
-    /// It has caught up with the others.
+    /// Whether the sender has caught up with the others.
     pub ready: bool,
-    /// There is more after the last of these.
+    /// The partition has more entries after the last one of this piece.
     pub more: bool,
-    /// The entries, by key.
+    /// The entries, in key order.
     pub entries: Vec<Arc<Change>>,
 }
 
-/// What a datagram says.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// See [`Join`].
@@ -289,18 +290,18 @@
     Piece(Piece),
 }
 
-/// The tag of a cluster: datagrams of another one are dropped.
+/// Returns the tag that marks the datagrams of a cluster; those with another tag are dropped.
 pub fn cluster_tag(cluster: &str) -> u64 {
-    first_eight(&Sha256::digest(cluster.as_bytes()))
+    u64_prefix(&Sha256::digest(cluster.as_bytes()))
 }
 
-/// The first eight bytes as a number.
-pub fn first_eight(bytes: &[u8]) -> u64 {
+/// Returns the first eight bytes as a big-endian number.
+pub fn u64_prefix(bytes: &[u8]) -> u64 {
     bytes.iter().take(8).fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
 impl Message {
-    fn kind(&self) -> u8 {
+    fn kind_byte(&self) -> u8 {
         match self {
             Message::Join(_) => 1,
             Message::Welcome(_) => 2,
@@ -317,30 +318,30 @@
         }
     }
 
-    /// The datagram.
+    /// Encodes the message as a datagram.
     pub fn encode(&self, cluster: u64) -> Vec<u8> {
         let mut out = Vec::with_capacity(256);
         out.push(WIRE_VERSION);
-        out.push(self.kind());
+        out.push(self.kind_byte());
         out.extend_from_slice(&cluster.to_be_bytes());
         match self {
-            Message::Join(body) => write(&mut out, body),
-            Message::Welcome(body) => write(&mut out, body),
-            Message::JoinRefused(body) => write(&mut out, body),
-            Message::Heartbeat(body) => write(&mut out, body),
-            Message::HeartbeatAck(body) => write(&mut out, body),
-            Message::Leave(body) => write(&mut out, body),
-            Message::Summary(body) => write(&mut out, body),
-            Message::Changes(body) => write(&mut out, body),
-            Message::Digest(body) => write(&mut out, body),
-            Message::Hashes(body) => write(&mut out, body),
-            Message::PieceRequest(body) => write(&mut out, body),
-            Message::Piece(body) => write(&mut out, body),
+            Message::Join(body) => encode_body(&mut out, body),
+            Message::Welcome(body) => encode_body(&mut out, body),
+            Message::JoinRefused(body) => encode_body(&mut out, body),
+            Message::Heartbeat(body) => encode_body(&mut out, body),
+            Message::HeartbeatAck(body) => encode_body(&mut out, body),
+            Message::Leave(body) => encode_body(&mut out, body),
+            Message::Summary(body) => encode_body(&mut out, body),
+            Message::Changes(body) => encode_body(&mut out, body),
+            Message::Digest(body) => encode_body(&mut out, body),
+            Message::Hashes(body) => encode_body(&mut out, body),
+            Message::PieceRequest(body) => encode_body(&mut out, body),
+            Message::Piece(body) => encode_body(&mut out, body),
         }
         out
     }
 
-    /// Reads a datagram of this cluster.
+    /// Decodes and checks a datagram of this cluster.
     pub fn decode(cluster: u64, bytes: &[u8]) -> Result<Message, MessageError> {
         if bytes.len() > MAX_DATAGRAM {
             return Err(MessageError::TooLong(bytes.len()));
@@ -356,41 +357,41 @@
         }
         let body = &bytes[HEADER_LENGTH..];
         let message = match bytes[1] {
-            1 => Message::Join(read("join", body)?),
-            2 => Message::Welcome(read("welcome", body)?),
-            3 => Message::JoinRefused(read("join refused", body)?),
-            4 => Message::Heartbeat(read("heartbeat", body)?),
-            5 => Message::HeartbeatAck(read("heartbeat ack", body)?),
-            6 => Message::Leave(read("leave", body)?),
-            7 => Message::Summary(read("summary", body)?),
-            8 => Message::Changes(read("changes", body)?),
-            9 => Message::Digest(read("digest", body)?),
-            10 => Message::Hashes(read("hashes", body)?),
-            11 => Message::PieceRequest(read("piece request", body)?),
-            12 => Message::Piece(read("piece", body)?),
+            1 => Message::Join(decode_body("join", body)?),
+            2 => Message::Welcome(decode_body("welcome", body)?),
+            3 => Message::JoinRefused(decode_body("join refused", body)?),
+            4 => Message::Heartbeat(decode_body("heartbeat", body)?),
+            5 => Message::HeartbeatAck(decode_body("heartbeat ack", body)?),
+            6 => Message::Leave(decode_body("leave", body)?),
+            7 => Message::Summary(decode_body("summary", body)?),
+            8 => Message::Changes(decode_body("changes", body)?),
+            9 => Message::Digest(decode_body("digest", body)?),
+            10 => Message::Hashes(decode_body("hashes", body)?),
+            11 => Message::PieceRequest(decode_body("piece request", body)?),
+            12 => Message::Piece(decode_body("piece", body)?),
             kind => return Err(MessageError::Kind(kind)),
         };
-        match message.wrong_field() {
+        match message.invalid_field() {
             Some((kind, field)) => Err(MessageError::Field { kind, field }),
             None => Ok(message),
         }
     }
 
-    /// The field that holds what cannot be, with the kind of message.
-    fn wrong_field(&self) -> Option<(&'static str, &'static str)> {
+    /// Returns the message kind and the name of the first field that is out of bounds.
+    fn invalid_field(&self) -> Option<(&'static str, &'static str)> {
         match self {
             Message::Join(join) => {
                 let names = [&join.region, &join.zone, &join.service];
-                if !is_name(&join.name) || join.name.is_empty() {
+                if !is_valid_name(&join.name) || join.name.is_empty() {
                     return Some(("join", "name"));
                 }
-                if join.source.is_some_and(|source| !is_source(source)) {
+                if join.source.is_some_and(|source| !is_valid_source(source)) {
                     return Some(("join", "source"));
                 }
-                (!names.iter().all(|name| is_name(name))).then_some(("join", "region, zone or service"))
+                (!names.iter().all(|name| is_valid_name(name))).then_some(("join", "region, zone or service"))
             }
             Message::Welcome(welcome) => {
-                if !is_source(welcome.home) {
+                if !is_valid_source(welcome.home) {
                     return Some(("welcome", "home"));
                 }
                 (welcome.peers.len() > MAX_LISTED_PEERS).then_some(("welcome", "peers"))
@@ -402,24 +403,26 @@
                 (!fits).then_some(("heartbeat", "rejected"))
             }
             Message::Summary(summary) => {
-                if !is_source(summary.source) {
+                if !is_valid_source(summary.source) {
                     return Some(("summary", "source"));
                 }
                 let names = &summary.names;
-                if names.len() > MAX_LISTED_NAMES || !names.iter().all(|name| is_name(name)) {
+                if names.len() > MAX_LISTED_NAMES || !names.iter().all(|name| is_valid_name(name)) {
                     return Some(("summary", "names"));
                 }
                 let rejected = &summary.rejected;
-                let fits =
-                    rejected.len() <= MAX_LISTED_REJECTIONS && rejected.iter().all(|r| is_name(&r.name));
+                let fits = rejected.len() <= MAX_LISTED_REJECTIONS
+                    && rejected.iter().all(|r| is_valid_name(&r.name));
                 (!fits).then_some(("summary", "rejected"))
             }
-            Message::Changes(changes) => wrong_change(&changes.changes).map(|field| ("changes", field)),
+            Message::Changes(changes) => {
+                invalid_change_field(&changes.changes).map(|field| ("changes", field))
+            }
             Message::Piece(piece) => {
                 if usize::from(piece.partition) >= PARTITIONS {
                     return Some(("piece", "partition"));
                 }
-                wrong_change(&piece.entries).map(|field| ("piece", field))
+                invalid_change_field(&piece.entries).map(|field| ("piece", field))
             }
             Message::PieceRequest(request) => {
                 (usize::from(request.partition) >= PARTITIONS).then_some(("piece request", "partition"))
@@ -434,31 +437,31 @@
     }
 }
 
-/// The bytes that a change takes in a message.
+/// Returns the encoded length of a change in bytes.
 pub fn encoded_length(change: &Change) -> usize {
     rmp_serde::to_vec(change).map_or(MAX_DATAGRAM, |bytes| bytes.len())
 }
 
-fn wrong_change(changes: &[Arc<Change>]) -> Option<&'static str> {
+fn invalid_change_field(changes: &[Arc<Change>]) -> Option<&'static str> {
     if changes.len() > MAX_CHANGES {
         return Some("changes");
     }
-    changes.iter().find_map(|change| change.wrong_field())
+    changes.iter().find_map(|change| change.invalid_field())
 }
 
-fn is_source(source: SourceId) -> bool {
+fn is_valid_source(source: SourceId) -> bool {
     usize::from(source.0) < MAX_SOURCES
 }
 
-fn is_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     name.len() <= MAX_NAME_LENGTH && !name.chars().any(char::is_control)
 }
 
-fn write<T: Serialize>(out: &mut Vec<u8>, body: &T) {
-    // Into memory, and of types without maps of unknown length: this cannot fail.
+fn encode_body<T: Serialize>(out: &mut Vec<u8>, body: &T) {
+    // Cannot fail: it writes to memory, and no type has maps of unknown length.
     let _ = rmp_serde::encode::write(out, body);
 }
 
-fn read<T: DeserializeOwned>(kind: &'static str, body: &[u8]) -> Result<T, MessageError> {
+fn decode_body<T: DeserializeOwned>(kind: &'static str, body: &[u8]) -> Result<T, MessageError> {
     rmp_serde::from_slice(body).map_err(|error| MessageError::Body { kind, why: error.to_string() })
 }
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,24 +1,24 @@
-//! Replicated configuration and membership: numbered changes that reach every controller by themselves.
+//! Replicated configuration and membership: an eventually consistent key-value store that spreads by gossip.
 //!
-//! Sans-IO: datagrams and times go into a [`Replica`], datagrams and [`Event`]s come out. `docs/replication.md` weighs the
-//! ways and states the bounds.
+//! Sans-IO: datagrams and times go into a [`Replica`], datagrams and [`Event`]s come out. `docs/replication.md`
+//! compares the alternatives and states the bounds.
 //!
 //! A few controllers are *sources*: they accept changes, each into a log of its own. Every controller is a replica: it
-//! holds the current entry of each key, passes new changes on to members drawn at random (rumor), and compares what it
-//! has with one member each second (anti-entropy). The highest stamp wins a key, on every replica alike. Who is a member
-//! is itself an entry, written by the sources.
+//! holds the current entry of each key, forwards new changes to randomly chosen members (rumor mongering), and compares
+//! its state with one member each second (anti-entropy). Every replica resolves a key to the change with the highest
+//! stamp (last writer wins). The membership list is itself a set of entries, written by the sources.
 //!
-//! Times are microseconds since 1970 by a clock that does not step back: the stamps of changes are made of them, and
-//! deleted keys are forgotten by them.
+//! Times are microseconds since 1970 from a clock that never steps back: stamps of changes and the expiry of tombstones
+//! are derived from them.
 
 mod acknowledgement;
 mod anti_entropy;
 mod entries;
 mod log;
 mod membership;
+mod membership_protocol;
 pub mod message;
 mod rate;
-mod residence;
 mod rumor;
 mod snapshot;
 #[cfg(test)]
@@ -35,74 +35,74 @@
 
 use crate::interface::{Span, Time};
 pub use acknowledgement::Acknowledgement;
-use entries::{Entries, Merged};
+use entries::{Entries, MergeOutcome};
 pub use entries::{MAX_ENTRIES, TOMBSTONE_RETENTION};
-use log::{ChangeLog, Offered};
+use log::{ChangeLog, OfferOutcome};
+use membership::{HomeMembers, Members};
 pub use membership::{Member, MemberRecord, MAX_MEMBERS, MEMBER_PREFIX};
-use membership::{Members, Residents};
+use membership_protocol::OwnMembership;
 use message::{cluster_tag, encoded_length, Change, Changes, Message, Summary};
 pub use message::{MessageError, MAX_DATAGRAM, MAX_KEY_LENGTH, MAX_VALUE_LENGTH};
 use rate::TokenBucket;
-use residence::Standing;
 use rumor::Rumors;
 use snapshot::Pull;
 pub use version::{Dot, Epoch, SourceId, SourceVersion, Stamp, VersionVector};
 use version::{MAX_EPOCH, MAX_NUMBER, MAX_SOURCES};
 
-/// Bytes of a datagram that are left for changes.
-const ROOM_FOR_CHANGES: usize = MAX_DATAGRAM - 32;
-/// A new change is passed on for so many intervals of anti-entropy at most.
-const RUMOR_COMPARISONS: u64 = 2;
-/// One part in so many of a second's bytes is kept from rumors, for comparisons and answers.
-const RESERVED_PART: usize = 2;
-/// Conflicts that are kept for the operators to see.
+/// Bytes of a datagram that are available for changes.
+const MAX_CHANGES_BYTES: usize = MAX_DATAGRAM - 32;
+/// Maximum lifetime of a rumor, in anti-entropy intervals.
+const RUMOR_LIFETIME_INTERVALS: u64 = 2;
+/// Divisor for the share of each second's byte budget that rumors must leave for comparisons and answers.
+const RESERVED_DIVISOR: usize = 2;
+/// Maximum number of recent conflicts that are kept for operators.
 const MAX_CONFLICTS: usize = 64;
-/// Events that wait to be taken; the oldest go first.
+/// Maximum number of queued events; the oldest are dropped first.
 const MAX_EVENTS: usize = 16_384;
-/// Datagrams that wait for the next poll.
+/// Maximum number of datagrams queued for the next poll.
 const MAX_OUTBOX: usize = 512;
-/// How often deleted keys are looked at.
+/// Interval between removals of expired tombstones.
 const EXPIRY_INTERVAL: Span = Span::from_millis(60_000);
 
-/// How a controller takes part.
+/// Configuration of a controller's replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaConfig {
-    /// The name of the cluster: datagrams of another one are dropped.
+    /// Name of the cluster; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Its name among the members.
+    /// Unique name of this member.
     pub name: String,
-    /// Where it sends from and is reached.
+    /// Address from which it sends and at which others reach it.
     pub address: SocketAddr,
-    /// Its region.
+    /// Region of this member.
     pub region: String,
-    /// Its zone.
+    /// Zone of this member.
     pub zone: String,
-    /// Its service.
+    /// Service of this member.
     pub service: String,
-    /// Higher in each life of the process than in the one before, such as the seconds since 1970 at its start.
+    /// Incarnation of the process: higher than in every earlier run, such as the start time in seconds since 1970.
     pub incarnation: u32,
-    /// Its number, if it is a source.
+    /// Source number, if this controller is a source.
     pub source: Option<SourceId>,
-    /// Where the sources are reached, the preferred home first: best one of the same region and another zone, so that a
-    /// zone never fails together with the homes of its members.
+    /// Addresses of the sources, the preferred home first. A source of the same region but another zone is best, so
+    /// that a zone never fails together with the homes of its members.
     pub seeds: Vec<SocketAddr>,
-    /// For random draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How many members a new change is passed on to in a round.
+    /// Number of members to which a new change is sent in each round.
     pub fanout: u16,
-    /// The time between two rounds while there is something to pass on.
+    /// Time between two rumor rounds while there are rumors to send.
     pub rumor_interval: Span,
-    /// The time between two comparisons with another member.
+    /// Time between two comparisons with another member.
     pub anti_entropy_interval: Span,
-    /// The time between two heartbeats.
+    /// Time between two heartbeats.
     pub heartbeat_interval: Span,
-    /// A member that misses so many in a row is removed.
+    /// Number of consecutive missed heartbeats after which a member is removed.
     pub missed_heartbeats: u32,
-    /// A source that nobody answers for so long accepts changes by itself.
+    /// Time without an answer from a caught-up member after which a source accepts changes on its own.
     pub bootstrap_after: Span,
-    /// Bytes a second that it sends at most, over any long while.
+    /// Long-term limit of bytes sent per second, without snapshots.
     pub bytes_per_second: u32,
-    /// Bytes a second of snapshots that it sends at most, over any long while.
+    /// Long-term limit of snapshot bytes sent per second.
     pub snapshot_bytes_per_second: u32,
 }
 
@@ -132,134 +132,135 @@
 }
 
 impl ReplicaConfig {
-    /// A member not heard for so long is gone; half a heartbeat more than the missed ones, for delays.
-    fn silence(&self) -> Span {
+    /// Time without a heartbeat after which a member is considered dead: the missed heartbeats, and half an interval
+    /// more to allow for delays.
+    fn silence_timeout(&self) -> Span {
         Span(self.heartbeat_interval.0 * u64::from(self.missed_heartbeats) + self.heartbeat_interval.0 / 2)
     }
 }
 
-/// Says which settings a controller can use.
+/// Decides which values a controller can apply.
 pub trait Validator {
-    /// Why the value cannot be in force here; `None`: the key is deleted.
+    /// Returns an error with the reason if the value cannot take effect here. `None` means that the key is deleted.
     fn validate(&self, key: &str, value: Option<&[u8]>) -> Result<(), String>;
 }
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
     /// Only sources accept changes.
-    #[error("not a source")]
+    #[error("this controller is not a source")]
     NotASource,
-    /// It has not caught up with the other members yet.
-    #[error("not caught up with the other members yet")]
+    /// The source has not caught up with the other members yet.
+    #[error("this source has not caught up with the other members yet")]
     NotCaughtUp,
-    /// The value is not valid.
+    /// The validator rejected the value.
     #[error("{0}")]
     Invalid(String),
     /// The key is empty or longer than [`MAX_KEY_LENGTH`].
-    #[error("a key has 1 to {MAX_KEY_LENGTH} bytes, not {0}")]
+    #[error("key length must be 1 to {MAX_KEY_LENGTH} bytes, got {0}")]
     KeyLength(usize),
     /// The value is longer than [`MAX_VALUE_LENGTH`].
-    #[error("a value has {MAX_VALUE_LENGTH} bytes at most, not {0}")]
+    #[error("value length must be at most {MAX_VALUE_LENGTH} bytes, got {0}")]
     ValueTooLong(usize),
-    /// Members are written by joining and leaving.
-    #[error("keys of members are not set by hand")]
+    /// Keys of members change only when members join or leave.
+    #[error("keys that begin with {MEMBER_PREFIX} are reserved for membership and cannot be set")]
     MemberKey,
-    /// There are [`MAX_ENTRIES`] keys.
-    #[error("{MAX_ENTRIES} keys are all that there can be")]
+    /// The limit of [`MAX_ENTRIES`] keys is reached.
+    #[error("the limit of {MAX_ENTRIES} keys is reached")]
     Full,
 }
 
-/// Two sides have changed a key without knowing of each other.
+/// Two concurrent changes of a key: neither writer knew of the other's change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Conflict {
     /// The key.
     pub key: Arc<str>,
-    /// The change that is current.
+    /// Stamp of the change that is current.
     pub winner: Stamp,
-    /// The change that is not.
+    /// Stamp of the change that lost.
     pub loser: Stamp,
-    /// What the loser would have set.
+    /// Value of the losing change; `None` if it deleted the key.
     pub lost_value: Option<Bytes>,
 }
 
-/// What happened.
+/// Event for the owner of the replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A key has another value in force here, or none any more.
+    /// The value of a key that is in force here has changed, or the key was deleted.
     ValueChanged {
         /// The key.
         key: String,
     },
-    /// The current value of a key is not valid here: the one before stays in force.
+    /// The current value of a key is not valid here; the previous one stays in force.
     Rejected {
         /// The key.
         key: String,
-        /// What is wrong with it.
+        /// Reason given by the validator.
         why: String,
     },
-    /// Two sides have changed a key without knowing of each other.
+    /// Two concurrent changes of a key were found.
     Conflict {
         /// The key.
         key: String,
-        /// The change that is current.
+        /// Stamp of the change that is current.
         winner: Stamp,
-        /// The change that is not.
+        /// Stamp of the change that lost.
         loser: Stamp,
     },
     /// A member joined.
     MemberJoined {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
     /// A member left or was removed.
     MemberLeft {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
     /// This controller has become a member.
     Joined,
-    /// This controller was removed; it joins again by itself.
+    /// This controller was removed from the members; it rejoins automatically.
     Removed,
-    /// Another process has joined under this controller's name: this one takes no part any more.
+    /// Another process has joined under this controller's name; this replica stops for good.
     Replaced,
-    /// It has caught up with the other members.
+    /// This replica has caught up with the other members.
     CaughtUp,
 }
 
-/// Plain counts.
+/// Counters of a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicaCounts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Bytes of snapshot pieces among them.
+    /// Bytes sent for snapshots, included in `sent_bytes`.
     pub snapshot_bytes: u64,
     /// Datagrams received.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes received.
     pub received_bytes: u64,
-    /// Datagrams dropped: of another cluster or of a stranger.
+    /// Datagrams dropped because they came from another cluster or from an unknown sender.
     pub dropped: u64,
-    /// Datagrams that cannot be read.
+    /// Datagrams that could not be decoded.
     pub malformed: u64,
-    /// Datagrams or rounds put off for want of bytes.
+    /// Datagrams or rumor rounds deferred because the byte budget or the outbox was exhausted.
     pub deferred: u64,
-    /// Snapshots pulled.
+    /// Snapshot pulls completed.
     pub snapshots: u64,
-    /// Changes of a key by two sides that did not know of each other.
+    /// Concurrent changes of a key.
     pub conflicts: u64,
-    /// Changes not valid here.
+    /// Changes that became current but are not valid here.
     pub rejected: u64,
-    /// Changes received, with those that were known.
+    /// Changes received, including duplicates.
     pub changes_received: u64,
 }
 
-/// One controller's replica.
+/// The replica of one controller.
 pub struct Replica {
     config: ReplicaConfig,
-    cluster: u64,
+    cluster_tag: u64,
     validator: Box<dyn Validator>,
     rng: Pcg32,
     entries: Entries,
@@ -268,40 +269,40 @@
     rumors: Rumors,
     pull: Option<Pull>,
     members: Members,
-    /// Members told of by a source that were no members here yet.
-    introduced: Vec<SocketAddr>,
-    standing: Standing,
-    residents: Residents,
+    /// Peers named by a source that may not be in the member list here yet.
+    introduced_peers: Vec<SocketAddr>,
+    membership: OwnMembership,
+    home_members: HomeMembers,
     summaries: [Option<Summary>; MAX_SOURCES],
-    /// When each of the other sources told its summary last.
-    sources_heard: [Option<Time>; MAX_SOURCES],
-    /// The epoch of the log that this life of the source writes.
+    /// When the last summary of each other source arrived.
+    summaries_received_at: [Option<Time>; MAX_SOURCES],
+    /// Epoch of the log that this run of the source writes; `None` until its first change.
     epoch: Option<Epoch>,
-    /// The highest time of all stamps seen.
+    /// Highest stamp time seen so far, for the hybrid logical clock.
     clock_millis: u64,
-    /// It has caught up with the others.
+    /// Whether this replica has caught up with the others.
     ready: bool,
     events: VecDeque<Event>,
     conflicts: VecDeque<Conflict>,
     outbox: Vec<(SocketAddr, Vec<u8>)>,
-    bytes: TokenBucket,
-    snapshot_bytes: TokenBucket,
+    byte_budget: TokenBucket,
+    snapshot_budget: TokenBucket,
     counts: ReplicaCounts,
     last_poll: Time,
     last_contact: Time,
-    /// When a member that has caught up was heard last.
+    /// When a caught-up member last sent something.
     last_ready_peer: Time,
-    next_round: Time,
+    next_rumor_round: Time,
     next_digest: Time,
     next_heartbeat: Time,
     next_expiry: Time,
 }
 
 impl Replica {
-    /// One that knows nothing yet.
+    /// Creates an empty replica that is not a member yet.
     pub fn new(config: ReplicaConfig, validator: Box<dyn Validator>, now: Time) -> Replica {
         Replica {
-            cluster: cluster_tag(&config.cluster),
+            cluster_tag: cluster_tag(&config.cluster),
             validator,
             rng: Pcg32::seed_from_u64(config.seed),
             entries: Entries::new(),
@@ -310,24 +311,24 @@
             rumors: Rumors::default(),
             pull: None,
             members: Members::default(),
-            introduced: Vec::new(),
-            standing: Standing::new(config.incarnation),
-            residents: Residents::default(),
+            introduced_peers: Vec::new(),
+            membership: OwnMembership::new(config.incarnation),
+            home_members: HomeMembers::default(),
             summaries: Default::default(),
-            sources_heard: Default::default(),
+            summaries_received_at: Default::default(),
             epoch: None,
             clock_millis: 0,
             ready: false,
             events: VecDeque::new(),
             conflicts: VecDeque::new(),
             outbox: Vec::new(),
-            bytes: TokenBucket::new(config.bytes_per_second, now),
-            snapshot_bytes: TokenBucket::new(config.snapshot_bytes_per_second, now),
+            byte_budget: TokenBucket::new(config.bytes_per_second, now),
+            snapshot_budget: TokenBucket::new(config.snapshot_bytes_per_second, now),
             counts: ReplicaCounts::default(),
             last_poll: now,
             last_contact: now,
             last_ready_peer: now,
-            next_round: now,
+            next_rumor_round: now,
             next_digest: now,
             next_heartbeat: now,
             next_expiry: now.plus(EXPIRY_INTERVAL),
@@ -335,11 +336,11 @@
         }
     }
 
-    /// A datagram came.
+    /// Processes a received datagram.
     pub fn receive(&mut self, now: Time, from: SocketAddr, bytes: &[u8]) -> Result<(), MessageError> {
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
-        let message = match Message::decode(self.cluster, bytes) {
+        let message = match Message::decode(self.cluster_tag, bytes) {
             Ok(message) => message,
             Err(MessageError::OtherCluster) => {
                 self.counts.dropped += 1;
@@ -350,7 +351,7 @@
                 return Err(error);
             }
         };
-        if !self.takes_part() {
+        if !self.is_active() {
             return Ok(());
         }
         if !matches!(message, Message::Join(_)) && !self.is_peer(from) {
@@ -359,31 +360,31 @@
         }
         self.discard_if_away_too_long(now);
         self.last_contact = now;
-        self.handle(now, from, message);
+        self.dispatch(now, from, message);
         Ok(())
     }
 
-    /// Takes what has fallen due by `now`: datagrams to send.
+    /// Does everything that is due at `now` and appends the datagrams to send to `out`.
     pub fn poll(&mut self, now: Time, out: &mut Vec<(SocketAddr, Vec<u8>)>) {
-        if !self.takes_part() {
+        if !self.is_active() {
             self.outbox.clear();
             return;
         }
         if now.since(self.last_poll) > Span(2 * self.config.heartbeat_interval.0) {
-            // This process stood still: what it did not hear was not silence.
-            self.forgive_silence(now);
+            // This process was stalled: missing heartbeats in that time do not mean that members are dead.
+            self.reset_silence_timers(now);
         }
         self.last_poll = self.last_poll.max(now);
-        self.bootstrap(now);
+        self.bootstrap_if_alone(now);
         if now >= self.next_heartbeat {
             self.next_heartbeat = now.plus(self.config.heartbeat_interval);
-            self.keep_membership(now);
+            self.maintain_membership(now);
         }
         if now >= self.next_digest {
-            self.compare_with_a_member(now);
+            self.start_comparison(now);
         }
-        if now >= self.next_round && !self.rumors.is_empty() {
-            self.pass_on(now);
+        if now >= self.next_rumor_round && !self.rumors.is_empty() {
+            self.send_rumors(now);
         }
         self.continue_pull(now);
         if now >= self.next_expiry {
@@ -393,20 +394,20 @@
         out.append(&mut self.outbox);
     }
 
-    /// When [`Replica::poll`] is to be called next; a time that has passed: at once.
+    /// When [`Replica::poll`] must be called next; a time in the past means immediately.
     pub fn next_due(&self) -> Time {
-        if !self.takes_part() {
+        if !self.is_active() {
             return Time(u64::MAX);
         }
         if !self.outbox.is_empty() {
             return self.last_poll;
         }
         let usual = self.next_heartbeat.min(self.next_digest).min(self.next_expiry);
-        let round = if self.rumors.is_empty() { usual } else { usual.min(self.next_round) };
-        self.pull.as_ref().map_or(round, |pull| round.min(pull.due()))
+        let round = if self.rumors.is_empty() { usual } else { usual.min(self.next_rumor_round) };
+        self.pull.as_ref().map_or(round, |pull| round.min(pull.next_due()))
     }
 
-    /// Accepts a change of a key, at a source; no value: the key is deleted.
+    /// Accepts a change of a key at a source; `None` deletes the key.
     pub fn propose(&mut self, now: Time, key: &str, value: Option<&[u8]>) -> Result<Dot, ProposeError> {
         if key.is_empty() || key.len() > MAX_KEY_LENGTH {
             return Err(ProposeError::KeyLength(key.len()));
@@ -418,40 +419,40 @@
             return Err(ProposeError::ValueTooLong(value.len()));
         }
         self.validator.validate(key, value).map_err(ProposeError::Invalid)?;
-        self.write(now, key, value)
+        self.write_change(now, key, value)
     }
 
-    /// What happened since this was asked last.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.events.drain(..).collect()
     }
 
-    /// The value of a key that is in force here.
+    /// Returns the value of a key that is in force here.
     pub fn value(&self, key: &str) -> Option<&[u8]> {
         self.entries.get(key)?.in_force()
     }
 
-    /// The keys that begin so and have a value in force here, by key.
+    /// Returns the keys with this prefix and their values in force here, in key order.
     pub fn values<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a [u8])> {
         self.entries.with_prefix(prefix).filter_map(|(key, entry)| Some((key, entry.in_force()?)))
     }
 
-    /// The stamp of the current change of a key, deleted or not.
+    /// Returns the stamp of the current change of a key, even if that change deleted it.
     pub fn stamp(&self, key: &str) -> Option<Stamp> {
         self.entries.get(key).map(|entry| entry.change.stamp)
     }
 
-    /// The members known here.
+    /// Returns the members known here.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.iter()
     }
 
-    /// What has been applied here.
+    /// Returns the version vector of the changes applied here.
     pub fn version(&self) -> &VersionVector {
         &self.vector
     }
 
-    /// The hash of all entries: the same wherever they are the same.
+    /// Returns the hash of all entries; replicas with equal entries have equal hashes.
     pub fn state_hash(&self) -> u64 {
         self.entries.hash()
     }
@@ -461,23 +462,23 @@
         self.ready
     }
 
-    /// The latest conflicts, the newest last.
+    /// Returns the latest conflicts, the newest last.
     pub fn conflicts(&self) -> impl Iterator<Item = &Conflict> {
         self.conflicts.iter()
     }
 
-    /// The keys whose current change is not valid here.
+    /// Returns the keys whose current change is not valid here.
     pub fn rejected_keys(&self) -> impl Iterator<Item = &str> {
         self.entries.rejected().map(|change| change.key.as_ref())
     }
 
-    /// Plain counts.
+    /// Returns the counters.
     pub fn counts(&self) -> ReplicaCounts {
         self.counts
     }
 
-    /// A change by this source, of whatever key.
-    fn write(&mut self, now: Time, key: &str, value: Option<&[u8]>) -> Result<Dot, ProposeError> {
+    /// Writes a change of any key, membership records included, as this source.
+    fn write_change(&mut self, now: Time, key: &str, value: Option<&[u8]>) -> Result<Dot, ProposeError> {
         let Some(source) = self.config.source else {
             return Err(ProposeError::NotASource);
         };
@@ -492,11 +493,12 @@
         let stamp = Stamp { millis, dot: self.next_dot(source) };
         let seen = held.map(|held| seen_after(&held)).unwrap_or_default();
         let value = value.map(Bytes::copy_from_slice);
-        self.take_change(now, &Arc::new(Change { key: key.into(), value, stamp, seen }), true);
+        self.accept_change(now, &Arc::new(Change { key: key.into(), value, stamp, seen }), true);
         Ok(stamp.dot)
     }
 
-    /// The identity of this source's next change. A log that this life has not begun goes on in a new epoch.
+    /// Returns the identity of this source's next change. A log that another run began, or that has no numbers left,
+    /// continues in a new epoch.
     fn next_dot(&mut self, source: SourceId) -> Dot {
         let version = self.vector.get(source);
         if self.epoch == Some(version.epoch) && version.number < MAX_NUMBER {
@@ -507,48 +509,48 @@
         Dot { source, epoch, number: 1 }
     }
 
-    /// Takes a change of another or of this source; `is_new`: it is to be passed on.
-    fn take_change(&mut self, now: Time, change: &Arc<Change>, is_new: bool) {
+    /// Adds a change of any source to its log and applies it; `is_new` says whether it is forwarded as a rumor.
+    fn accept_change(&mut self, now: Time, change: &Arc<Change>, is_new: bool) {
         let source = change.stamp.dot.source;
         let offered = self.logs[source.index()].offer(change);
         self.vector.set(source, self.logs[source.index()].version());
         match offered {
-            Offered::Known => self.rumors.heard_again(change.stamp),
-            Offered::Early => self.compare_soon(now),
-            Offered::FormerEpoch => {
+            OfferOutcome::Known => self.rumors.note_duplicate(change.stamp),
+            OfferOutcome::OutOfOrder => self.compare_soon(now),
+            OfferOutcome::PastEpoch => {
                 if self.apply(now, change) && is_new {
-                    self.rumor(now, change.clone());
+                    self.start_rumor(now, change.clone());
                 }
             }
-            Offered::Ready(changes) => {
+            OfferOutcome::Ready(changes) => {
                 for change in changes {
                     self.apply(now, &change);
                     if is_new {
-                        self.rumor(now, change);
+                        self.start_rumor(now, change);
                     }
                 }
             }
         }
     }
 
-    /// Merges a change into the entries; whether it is the current one of its key now.
+    /// Merges a change into the entries and returns whether it became the current change of its key.
     fn apply(&mut self, now: Time, change: &Arc<Change>) -> bool {
         self.clock_millis = self.clock_millis.max(change.stamp.millis);
         let wins = self.entries.get(&change.key).is_none_or(|held| held.change.stamp < change.stamp);
         let checked = if wins { self.check(change) } else { Ok(()) };
         match self.entries.merge(now, change, checked.is_ok()) {
-            Merged::Unchanged | Merged::Full => false,
-            Merged::Lost { winner, concurrent } => {
+            MergeOutcome::Unchanged | MergeOutcome::Full => false,
+            MergeOutcome::Lost { winner, concurrent } => {
                 if concurrent {
                     self.report_conflict(winner, change);
                 }
                 false
             }
-            Merged::Won { conflicting } => {
+            MergeOutcome::Won { conflicting } => {
                 if let Some(loser) = conflicting {
                     self.report_conflict(change.stamp, &loser);
                 }
-                self.report_current(now, change, checked);
+                self.on_current_changed(now, change, checked);
                 true
             }
         }
@@ -556,25 +558,25 @@
 
     fn check(&self, change: &Change) -> Result<(), String> {
         if change.key.starts_with(MEMBER_PREFIX) {
-            let readable = change.value.as_ref().is_none_or(|value| MemberRecord::read(value).is_some());
-            return if readable { Ok(()) } else { Err("no record of a member".to_string()) };
+            let readable = change.value.as_ref().is_none_or(|value| MemberRecord::decode(value).is_some());
+            return if readable { Ok(()) } else { Err("not a valid member record".to_string()) };
         }
         self.validator.validate(&change.key, change.value.as_deref())
     }
 
-    fn report_current(&mut self, now: Time, change: &Arc<Change>, checked: Result<(), String>) {
+    fn on_current_changed(&mut self, now: Time, change: &Arc<Change>, checked: Result<(), String>) {
         if let Err(why) = checked {
             self.counts.rejected += 1;
-            self.report(Event::Rejected { key: change.key.to_string(), why });
+            self.emit(Event::Rejected { key: change.key.to_string(), why });
             return;
         }
         match change.key.strip_prefix(MEMBER_PREFIX) {
             Some(name) => self.member_changed(now, name, change.value.as_deref()),
-            None => self.report(Event::ValueChanged { key: change.key.to_string() }),
+            None => self.emit(Event::ValueChanged { key: change.key.to_string() }),
         }
     }
 
-    /// Conflicts about members are no news: whoever is wrong about one is told by the member itself.
+    /// Records a conflict. Conflicts over member records are ignored: the member itself corrects a wrong record.
     fn report_conflict(&mut self, winner: Stamp, loser: &Change) {
         if loser.key.starts_with(MEMBER_PREFIX) {
             return;
@@ -585,94 +587,94 @@
         }
         let lost_value = loser.value.clone();
         self.conflicts.push_back(Conflict { key: loser.key.clone(), winner, loser: loser.stamp, lost_value });
-        self.report(Event::Conflict { key: loser.key.to_string(), winner, loser: loser.stamp });
+        self.emit(Event::Conflict { key: loser.key.to_string(), winner, loser: loser.stamp });
     }
 
-    fn report(&mut self, event: Event) {
+    fn emit(&mut self, event: Event) {
         if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(event);
     }
 
-    fn rumor(&mut self, now: Time, change: Arc<Change>) {
-        let rounds = rumor::rounds(self.members.len(), self.config.fanout);
+    fn start_rumor(&mut self, now: Time, change: Arc<Change>) {
+        let rounds = rumor::round_count(self.members.len(), self.config.fanout);
         self.rumors.add(now, change, rounds);
     }
 
-    /// Passes the newest changes on to members drawn at random.
-    fn pass_on(&mut self, now: Time) {
-        self.next_round = now.plus(self.config.rumor_interval);
+    /// Sends the newest changes to randomly chosen members.
+    fn send_rumors(&mut self, now: Time) {
+        self.next_rumor_round = now.plus(self.config.rumor_interval);
         let fanout = usize::from(self.config.fanout.max(1));
-        self.rumors.expire(now, Span(RUMOR_COMPARISONS * self.config.anti_entropy_interval.0));
-        let reserved = self.config.bytes_per_second as usize / RESERVED_PART;
-        let available = self.bytes.available(now).saturating_sub(reserved);
-        let affordable = (available / fanout).saturating_sub(MAX_DATAGRAM - ROOM_FOR_CHANGES);
-        let changes = self.rumors.next_round(affordable.min(ROOM_FOR_CHANGES));
+        self.rumors.expire(now, Span(RUMOR_LIFETIME_INTERVALS * self.config.anti_entropy_interval.0));
+        let reserved = self.config.bytes_per_second as usize / RESERVED_DIVISOR;
+        let available = self.byte_budget.available(now).saturating_sub(reserved);
+        let affordable = (available / fanout).saturating_sub(MAX_DATAGRAM - MAX_CHANGES_BYTES);
+        let changes = self.rumors.next_round(affordable.min(MAX_CHANGES_BYTES));
         if changes.is_empty() {
             self.counts.deferred += u64::from(!self.rumors.is_empty());
             return;
         }
         let message = Message::Changes(Changes { changes, more: false, rumor: true });
         for _ in 0..fanout {
-            if let Some(to) = self.draw_peer() {
+            if let Some(to) = self.random_peer() {
                 self.send_if_affordable(now, to, &message);
             }
         }
     }
 
-    /// A member drawn at random; a seed, while no member is known.
-    fn draw_peer(&mut self) -> Option<SocketAddr> {
-        let member = self.members.draw(&mut self.rng, self.config.address);
-        member.or_else(|| self.draw_seed())
+    /// Returns a random member, or a random seed while no other member is known.
+    fn random_peer(&mut self) -> Option<SocketAddr> {
+        let member = self.members.random_address(&mut self.rng, self.config.address);
+        member.or_else(|| self.random_seed_address())
     }
 
-    /// A seed drawn at random, or a member that a source told of.
-    fn draw_seed(&mut self) -> Option<SocketAddr> {
+    /// Returns a random seed, or a peer that a source introduced.
+    fn random_seed_address(&mut self) -> Option<SocketAddr> {
         let own = self.config.address;
-        let known = self.config.seeds.iter().chain(&self.introduced).filter(|address| **address != own);
+        let known = self.config.seeds.iter().chain(&self.introduced_peers).filter(|address| **address != own);
         let known: Vec<SocketAddr> = known.copied().collect();
         let drawn = self.rng.next_u32() as usize;
         (!known.is_empty()).then(|| known[drawn % known.len()])
     }
 
     fn is_peer(&self, address: SocketAddr) -> bool {
-        self.members.at(address).is_some()
+        self.members.by_address(address).is_some()
             || self.config.seeds.contains(&address)
-            || self.introduced.contains(&address)
+            || self.introduced_peers.contains(&address)
     }
 
-    /// Sends what must not wait.
+    /// Sends a message that must not be deferred, even beyond the byte budget.
     fn send(&mut self, now: Time, to: SocketAddr, message: &Message) {
-        let bytes = message.encode(self.cluster);
-        self.bytes.take(now, bytes.len());
-        self.put_out(to, bytes);
+        let bytes = message.encode(self.cluster_tag);
+        self.byte_budget.take_with_debt(now, bytes.len());
+        self.enqueue(to, bytes);
     }
 
-    /// Sends what may be lost, if the bytes are there.
+    /// Sends a message that may be lost, if the byte budget allows it; returns whether it did.
     fn send_if_affordable(&mut self, now: Time, to: SocketAddr, message: &Message) -> bool {
-        let bytes = message.encode(self.cluster);
-        let affordable = self.bytes.try_take(now, bytes.len());
+        let bytes = message.encode(self.cluster_tag);
+        let affordable = self.byte_budget.try_take(now, bytes.len());
         if affordable {
-            self.put_out(to, bytes);
+            self.enqueue(to, bytes);
         } else {
             self.counts.deferred += 1;
         }
         affordable
     }
 
-    /// Sends a part of a snapshot, if the bytes are there.
+    /// Sends a part of a snapshot, if the snapshot budget allows it.
     fn send_snapshot(&mut self, now: Time, to: SocketAddr, message: &Message) {
-        let bytes = message.encode(self.cluster);
-        if self.snapshot_bytes.try_take(now, bytes.len()) {
+        let bytes = message.encode(self.cluster_tag);
+        if self.snapshot_budget.try_take(now, bytes.len()) {
             self.counts.snapshot_bytes += bytes.len() as u64;
-            self.put_out(to, bytes);
+            self.enqueue(to, bytes);
         } else {
             self.counts.deferred += 1;
         }
     }
 
-    fn put_out(&mut self, to: SocketAddr, bytes: Vec<u8>) {
+    fn enqueue(&mut self, to: SocketAddr, bytes: Vec<u8>) {
         if self.outbox.len() >= MAX_OUTBOX {
             self.counts.deferred += 1;
             return;
@@ -682,32 +684,35 @@
         self.outbox.push((to, bytes));
     }
 
-    /// A share drawn evenly from 0 to 1.
-    fn draw_share(&mut self) -> f64 {
+    /// Returns a random number, uniformly distributed from 0 to 1.
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 }
 
-/// What the writer of the next change of a key has seen: the held change and what its writer had seen.
+/// Returns the causal history for the next change of a key: the held change, and what its writer had seen.
 fn seen_after(held: &Change) -> Box<[Dot]> {
     let dot = held.stamp.dot;
     let others = held.seen.iter().filter(|seen| seen.source != dot.source);
     others.copied().chain([dot]).collect()
 }
 
-/// Splits changes into lists that fit a datagram each.
-fn into_datagrams(changes: impl Iterator<Item = Arc<Change>>, most: usize) -> (Vec<Vec<Arc<Change>>>, bool) {
+/// Splits changes into lists that each fit a datagram; the flag says that changes remain after `max_datagrams` lists.
+fn into_datagrams(
+    changes: impl Iterator<Item = Arc<Change>>,
+    max_datagrams: usize,
+) -> (Vec<Vec<Arc<Change>>>, bool) {
     let mut datagrams: Vec<Vec<Arc<Change>>> = Vec::new();
     let mut room = 0;
     for change in changes {
         let length = encoded_length(&change);
         let full = datagrams.last().is_none_or(|last| length > room || last.len() == message::MAX_CHANGES);
         if full {
-            if datagrams.len() == most {
+            if datagrams.len() == max_datagrams {
                 return (datagrams, true);
             }
             datagrams.push(Vec::new());
-            room = ROOM_FOR_CHANGES;
+            room = MAX_CHANGES_BYTES;
         }
         room = room.saturating_sub(length);
         if let Some(last) = datagrams.last_mut() {
--- a/src/replication/snapshot.rs
+++ b/src/replication/snapshot.rs
@@ -1,4 +1,4 @@
-//! Pulling the entries of differing partitions in pieces, from one or several members.
+//! Snapshot pull: fetches the entries of differing partitions in pieces, from one or several members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,80 +7,85 @@
 use super::version::VersionVector;
 use crate::interface::{Span, Time};
 
-/// Pieces that are asked for at once.
+/// Maximum number of piece requests in flight.
 const IN_FLIGHT: usize = 6;
-/// A piece that has not come by then is asked for again, of another member.
+/// Time after which a missing piece is requested again, from the next member.
 const PIECE_TIMEOUT: Span = Span::from_millis(400);
-/// Without any piece for so long the pull is given up.
+/// Time without any piece after which the pull is abandoned.
 const PULL_TIMEOUT: Span = Span::from_millis(10_000);
 
+/// Progress of the pull of one partition.
 #[derive(Debug, Default)]
-struct Part {
+struct PartitionCursor {
     after: String,
-    asked: Option<Time>,
+    requested_at: Option<Time>,
 }
 
-/// One pull.
+/// A snapshot pull in progress.
 #[derive(Debug)]
 pub struct Pull {
-    parts: BTreeMap<u8, Part>,
+    remaining: BTreeMap<u8, PartitionCursor>,
     members: Vec<SocketAddr>,
     next_member: usize,
-    told: VersionVector,
-    progress: Time,
+    common_vector: VersionVector,
+    last_progress: Time,
 }
 
 impl Pull {
-    /// Begins to pull `partitions` from `members`, of which the first has told `vector`.
+    /// Starts to pull `partitions` from `members`, the first of which sent `vector` with its hashes.
     pub fn new(now: Time, partitions: &[u8], members: Vec<SocketAddr>, vector: VersionVector) -> Pull {
-        let parts = partitions.iter().map(|partition| (*partition, Part::default())).collect();
-        Pull { parts, members, next_member: 0, told: vector, progress: now }
+        let remaining = partitions.iter().map(|partition| (*partition, PartitionCursor::default())).collect();
+        Pull { remaining, members, next_member: 0, common_vector: vector, last_progress: now }
     }
 
-    /// Whether this member told the hashes.
-    pub fn is_begun_by(&self, member: SocketAddr) -> bool {
+    /// Returns whether this is the member whose hashes started the pull.
+    pub fn was_started_by(&self, member: SocketAddr) -> bool {
         self.members.first() == Some(&member)
     }
 
-    /// Whether everything has come.
+    /// Returns whether all pieces have arrived.
     pub fn is_done(&self) -> bool {
-        self.parts.is_empty()
+        self.remaining.is_empty()
     }
 
-    /// Whether nothing has come for too long.
+    /// Returns whether no piece has arrived for [`PULL_TIMEOUT`].
     pub fn is_stuck(&self, now: Time) -> bool {
-        now.since(self.progress) >= PULL_TIMEOUT
+        now.since(self.last_progress) >= PULL_TIMEOUT
     }
 
-    /// What whoever has all pieces has applied: the least that the members told.
-    pub fn told(&self) -> VersionVector {
-        self.told
+    /// Returns the version vector that the complete snapshot includes at least: the lowest of those that the members
+    /// sent.
+    pub fn common_vector(&self) -> VersionVector {
+        self.common_vector
     }
 
-    /// When the next request falls due.
-    pub fn due(&self) -> Time {
-        let next = self.parts.values().take(IN_FLIGHT);
-        let due = next.map(|part| part.asked.map_or(self.progress, |asked| asked.plus(PIECE_TIMEOUT)));
-        due.min().unwrap_or(self.progress)
+    /// Returns when the next request is due.
+    pub fn next_due(&self) -> Time {
+        let next = self.remaining.values().take(IN_FLIGHT);
+        let due = next.map(|cursor| {
+            cursor.requested_at.map_or(self.last_progress, |requested_at| requested_at.plus(PIECE_TIMEOUT))
+        });
+        due.min().unwrap_or(self.last_progress)
     }
 
-    /// The requests that have fallen due.
+    /// Returns the requests that are due at `now`.
     pub fn requests(&mut self, now: Time) -> Vec<(SocketAddr, PieceRequest)> {
         let mut requests = Vec::new();
-        for (partition, part) in self.parts.iter_mut().take(IN_FLIGHT) {
-            if part.asked.is_some_and(|asked| now.since(asked) < PIECE_TIMEOUT) {
+        for (partition, cursor) in self.remaining.iter_mut().take(IN_FLIGHT) {
+            if cursor.requested_at.is_some_and(|requested_at| now.since(requested_at) < PIECE_TIMEOUT) {
                 continue;
             }
-            part.asked = Some(now);
+            cursor.requested_at = Some(now);
             let member = self.members[self.next_member % self.members.len()];
             self.next_member += 1;
-            requests.push((member, PieceRequest { partition: *partition, after: part.after.clone() }));
+            requests.push((member, PieceRequest { partition: *partition, after: cursor.after.clone() }));
         }
         requests
     }
 
-    /// A piece came whose entries end with `last`; whether it was asked for.
-    pub fn take(
+    /// Accepts a piece and returns whether it was expected. `last` is its last key, or `None` if it completes the
+    /// partition.
+    pub fn accept_piece(
         &mut self,
         now: Time,
         partition: u8,
@@ -88,15 +93,15 @@
         last: Option<&str>,
         vector: &VersionVector,
     ) -> bool {
-        let Some(part) = self.parts.get_mut(&partition).filter(|part| part.after == after) else {
+        let Some(cursor) = self.remaining.get_mut(&partition).filter(|cursor| cursor.after == after) else {
             return false;
         };
-        self.progress = now;
-        self.told = self.told.lower(vector);
+        self.last_progress = now;
+        self.common_vector = self.common_vector.lower(vector);
         match last {
-            Some(last) => *part = Part { after: last.to_string(), asked: None },
+            Some(last) => *cursor = PartitionCursor { after: last.to_string(), requested_at: None },
             None => {
-                self.parts.remove(&partition);
+                self.remaining.remove(&partition);
             }
         }
         true
--- a/src/replication/version.rs
+++ b/src/replication/version.rs
@@ -1,58 +1,58 @@
-//! Identities and versions: who wrote a change, which change it is, and which changes have been applied.
+//! Identities and versions: the source of a change, its number, and version vectors of applied changes.
 
 use serde::{Deserialize, Serialize};
 
-/// Sources that there can be.
+/// Maximum number of sources.
 pub const MAX_SOURCES: usize = 8;
-/// The highest epoch that is believed: beyond it there would be no room to raise one's own.
+/// Highest epoch that is accepted. A higher one in a datagram would leave a source no room to raise its own.
 pub const MAX_EPOCH: u32 = u32::MAX / 2;
-/// The highest number in a log that is believed.
+/// Highest number of a change in a log that is accepted.
 pub const MAX_NUMBER: u32 = u32::MAX / 2;
-/// The highest time of a stamp that is believed, in milliseconds since 1970 (the year 4199).
+/// Highest time of a stamp that is accepted, in milliseconds since 1970 (the year 4199).
 pub const MAX_STAMP_MILLIS: u64 = 1 << 46;
 
-/// The number of a source, 0 to 7.
+/// Number of a source, 0 to 7.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct SourceId(pub u8);
 
 impl SourceId {
-    /// Its place in arrays over all sources.
+    /// Returns the index of the source in arrays over all sources.
     pub fn index(self) -> usize {
         usize::from(self.0) % MAX_SOURCES
     }
 }
 
-/// One life of a source's process; a later life has a higher epoch.
+/// Epoch of a source's log; each run of its process starts a higher one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Epoch(pub u32);
 
-/// The last change applied of a source's log. Number 0: none yet.
+/// The last change applied from a source's log; number 0 means none yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct SourceVersion {
-    /// The epoch of the log.
+    /// Epoch of the log.
     pub epoch: Epoch,
-    /// The number within the log; the first change has 1.
+    /// Number within the log; the first change has number 1.
     pub number: u32,
 }
 
-/// The identity of one change.
+/// Identity of a change, as in dotted version vectors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Dot {
     /// The source that accepted it.
     pub source: SourceId,
-    /// The epoch of its log.
+    /// Epoch of that source's log.
     pub epoch: Epoch,
-    /// Its number in that log.
+    /// Number in that log.
     pub number: u32,
 }
 
 impl Dot {
-    /// The version of its source's log that ends with this change.
+    /// Returns the version of the source's log that ends with this change.
     pub fn version(self) -> SourceVersion {
         SourceVersion { epoch: self.epoch, number: self.number }
     }
 
-    /// Whether the identity can be one.
+    /// Returns whether all parts of the identity are within their bounds.
     pub fn is_plausible(self) -> bool {
         usize::from(self.source.0) < MAX_SOURCES
             && self.epoch.0 <= MAX_EPOCH
@@ -60,23 +60,24 @@
     }
 }
 
-/// The time of a change by a hybrid logical clock, made unique by the change's identity. The higher one wins a key.
+/// Time of a change by a hybrid logical clock, made unique by the change's identity. The change with the highest stamp
+/// wins a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Stamp {
     /// Milliseconds since 1970.
     pub millis: u64,
-    /// The change.
+    /// Identity of the change.
     pub dot: Dot,
 }
 
 impl Stamp {
-    /// Whether the stamp can be one.
+    /// Returns whether the time and the identity are within their bounds.
     pub fn is_plausible(self) -> bool {
         self.millis <= MAX_STAMP_MILLIS && self.dot.is_plausible()
     }
 }
 
-/// What of each source's log has been applied. Of each source only the latest epoch is kept.
+/// The version applied of each source's log; only the latest epoch of each source is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(into = "Vec<(u8, u32, u32)>", try_from = "Vec<(u8, u32, u32)>")]
 pub struct VersionVector {
@@ -84,7 +85,7 @@
 }
 
 impl VersionVector {
-    /// The version applied of a source's log.
+    /// Returns the version applied of a source's log.
     pub fn get(&self, source: SourceId) -> SourceVersion {
         self.versions[source.index()]
     }
@@ -94,17 +95,17 @@
         self.versions[source.index()] = version;
     }
 
-    /// Whether the change has been applied, or its epoch is over.
+    /// Returns whether the change has been applied or belongs to an earlier epoch.
     pub fn covers(&self, dot: Dot) -> bool {
         self.get(dot.source) >= dot.version()
     }
 
-    /// Whether everything in `other` is in this one.
+    /// Returns whether this vector includes everything in `other`.
     pub fn is_at_least(&self, other: &VersionVector) -> bool {
         self.versions.iter().zip(&other.versions).all(|(mine, theirs)| mine >= theirs)
     }
 
-    /// For each source the lower version of the two.
+    /// Returns the lower version of the two for each source.
     pub fn lower(&self, other: &VersionVector) -> VersionVector {
         let mut lower = *self;
         lower
@@ -115,7 +116,7 @@
         lower
     }
 
-    /// The sources of which something has been applied, with the version.
+    /// Returns the sources with at least one applied change, with their versions.
     pub fn iter(&self) -> impl Iterator<Item = (SourceId, SourceVersion)> + '_ {
         let numbered = (0u8..).zip(self.versions);
         numbered.filter(|(_, version)| *version != SourceVersion::default()).map(|(no, v)| (SourceId(no), v))
@@ -135,10 +136,14 @@
         let mut vector = VersionVector::default();
         for (source, epoch, number) in list {
             if usize::from(source) >= MAX_SOURCES {
-                return Err(format!("version vector: source {source} of at most {MAX_SOURCES}"));
+                return Err(format!(
+                    "version vector: source {source} is not below the limit of {MAX_SOURCES}"
+                ));
             }
             if epoch > MAX_EPOCH || number > MAX_NUMBER {
-                return Err(format!("version vector: epoch {epoch}, number {number} of source {source}"));
+                return Err(format!(
+                    "version vector: epoch {epoch} or number {number} of source {source} is too high"
+                ));
             }
             vector.set(SourceId(source), SourceVersion { epoch: Epoch(epoch), number });
         }
--- a/tests/replication_support/mod.rs
+++ b/tests/replication_support/mod.rs
@@ -1,4 +1,4 @@
-//! A network of replicas in driven time.
+//! A simulated network of replicas in simulated time.
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -11,34 +11,34 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// The cluster that all replicas here are of.
+/// Name of the cluster of all replicas here.
 pub const CLUSTER: &str = "test";
-/// The value that a replica does not use once it was told to refuse it.
+/// The value that a replica rejects after [`Net::refuse`].
 pub const REFUSED_VALUE: &[u8] = b"refused";
-/// Datagrams kept as samples of what is sent.
-const SAMPLES: usize = 24;
-/// When runs begin: some time in 2023.
-const BEGIN: Time = Time(1_700_000_000_000_000);
+/// Number of sent datagrams that are kept as samples.
+const MAX_SAMPLES: usize = 24;
+/// Start time of every run, in 2023.
+const START_TIME: Time = Time(1_700_000_000_000_000);
 
-/// So many seconds.
+/// Returns a span of seconds.
 pub fn secs(secs: u64) -> Span {
     Span::from_millis(secs * 1_000)
 }
 
-/// What happens to datagrams.
+/// Faults and delays of the links.
 #[derive(Debug, Clone)]
 pub struct Links {
-    /// The share that is lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The share that comes twice.
-    pub twice: f64,
-    /// The least and the longest time on the way: whoever takes longer is overtaken.
+    /// Fraction of datagrams that are duplicated.
+    pub duplicated: f64,
+    /// Shortest and longest delay; datagrams with different delays may be reordered.
     pub delay_ms: (u64, u64),
 }
 
 impl Default for Links {
     fn default() -> Self {
-        Links { loss: 0.0, twice: 0.0, delay_ms: (1, 20) }
+        Links { loss: 0.0, duplicated: 0.0, delay_ms: (1, 20) }
     }
 }
 
@@ -56,7 +56,7 @@
 struct Node {
     replica: Replica,
     refuses: Rc<Cell<bool>>,
-    /// When it is to be polled; none: it stands still.
+    /// When it must be polled next; `None` while it is paused.
     due: Option<Time>,
 }
 
@@ -68,9 +68,9 @@
 
 /// The replicas and the datagrams between them.
 pub struct Net {
-    /// The present.
+    /// The current simulated time.
     pub now: Time,
-    /// Replicas of different groups do not hear each other.
+    /// Partition group of each replica; datagrams between groups are lost.
     pub groups: Vec<u8>,
     seed: u64,
     sources: usize,
@@ -85,9 +85,9 @@
     longest: usize,
 }
 
-/// The configuration of replica `no`, the first `sources` of which are sources.
+/// Returns the configuration of replica `no`; the first `sources` replicas are sources.
 pub fn config(no: usize, sources: usize, incarnation: u32) -> ReplicaConfig {
-    // A source of another zone first, others by turn.
+    // A source of another zone first, then the others in order.
     let seeds = (0..sources).map(|place| address_of((no + 1 + place) % sources)).collect();
     ReplicaConfig {
         cluster: CLUSTER.to_string(),
@@ -115,10 +115,10 @@
 }
 
 impl Net {
-    /// No replica yet.
+    /// Creates a network without replicas.
     pub fn new(seed: u64, sources: usize, links: Links) -> Net {
         Net {
-            now: BEGIN,
+            now: START_TIME,
             groups: Vec::new(),
             seed,
             sources,
@@ -134,27 +134,27 @@
         }
     }
 
-    /// Places for replicas, those stopped included.
+    /// Returns the number of replicas, stopped ones included.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// A number below `below`.
-    pub fn draw(&mut self, below: usize) -> usize {
-        self.rng.next_u32() as usize % below.max(1)
+    /// Returns a random number below `limit`.
+    pub fn random_below(&mut self, limit: usize) -> usize {
+        self.rng.next_u32() as usize % limit.max(1)
     }
 
-    /// The address of a replica.
+    /// Returns the address of a replica.
     pub fn address(&self, no: usize) -> SocketAddr {
         address_of(no)
     }
 
-    /// Starts a replica that knows nothing yet.
+    /// Starts an empty replica.
     pub fn start(&mut self, no: usize, incarnation: u32) {
         self.start_as(no, &format!("n{no}"), incarnation);
     }
 
-    /// Starts a replica of another name.
+    /// Starts an empty replica under another name.
     pub fn start_as(&mut self, no: usize, name: &str, incarnation: u32) {
         let refuses = Rc::new(Cell::new(false));
         let mut config = config(no, self.sources, incarnation);
@@ -169,12 +169,12 @@
         self.polls.push(Reverse((self.now, no)));
     }
 
-    /// The process is gone.
+    /// Kills the process of a replica.
     pub fn stop(&mut self, no: usize) {
         self.nodes[no] = None;
     }
 
-    /// The process leaves in good order.
+    /// Shuts a replica down gracefully: it leaves the cluster.
     pub fn leave(&mut self, no: usize) {
         let now = self.now;
         let mut out = Vec::new();
@@ -183,34 +183,34 @@
         self.nodes[no] = None;
     }
 
-    /// The process stands still; what comes for it is lost.
+    /// Pauses the process of a replica; datagrams to it are lost.
     pub fn pause(&mut self, no: usize) {
         self.node_mut(no).due = None;
     }
 
-    /// The process goes on.
+    /// Resumes a paused process.
     pub fn resume(&mut self, no: usize) {
         let now = self.now;
         self.node_mut(no).due = Some(now);
         self.polls.push(Reverse((now, no)));
     }
 
-    /// From now on the replica refuses [`REFUSED_VALUE`].
+    /// Makes the replica reject [`REFUSED_VALUE`] from now on.
     pub fn refuse(&mut self, no: usize) {
         self.node_mut(no).refuses.set(true);
     }
 
-    /// All hear each other.
+    /// Heals all partitions.
     pub fn heal(&mut self) {
         self.groups.iter_mut().for_each(|group| *group = 0);
     }
 
-    /// A replica.
+    /// Returns a replica.
     pub fn replica(&self, no: usize) -> &Replica {
         &self.nodes[no].as_ref().expect("started").replica
     }
 
-    /// A replica.
+    /// Returns a replica for modification.
     pub fn replica_mut(&mut self, no: usize) -> &mut Replica {
         &mut self.node_mut(no).replica
     }
@@ -219,7 +219,7 @@
         self.nodes[no].as_mut().expect("started")
     }
 
-    /// A source accepts a change.
+    /// Lets a source accept a change; panics if it refuses.
     pub fn propose(&mut self, no: usize, key: &str, value: Option<&[u8]>) -> Dot {
         let (now, seed) = (self.now, self.seed);
         let dot = self.replica_mut(no).propose(now, key, value);
@@ -227,7 +227,7 @@
         dot.unwrap_or_else(|error| panic!("seed {seed}: source {no}: {error}"))
     }
 
-    /// Nobody's events are kept.
+    /// Discards the events of all replicas.
     pub fn take_all_events(&mut self) {
         self.nodes.iter_mut().flatten().for_each(|node| drop(node.replica.take_events()));
     }
@@ -236,43 +236,43 @@
         self.nodes.iter().flatten().filter(|node| node.due.is_some()).map(|node| &node.replica)
     }
 
-    /// Whether all that run are members.
+    /// Returns whether all running replicas are members.
     pub fn all_joined(&self) -> bool {
         self.running().all(|replica| replica.is_member())
     }
 
-    /// Whether all that run hold the same and have applied the same.
+    /// Returns whether all running replicas hold the same entries and have applied the same changes.
     pub fn agrees(&self) -> bool {
         let mut all = self.running().map(|replica| (replica.state_hash(), *replica.version()));
         let first = all.next();
         all.all(|other| Some(other) == first)
     }
 
-    /// Some of the datagrams sent so far.
+    /// Returns samples of the datagrams sent so far.
     pub fn sent_samples(&self) -> Vec<Vec<u8>> {
         self.samples.clone()
     }
 
-    /// The length of the longest datagram sent.
+    /// Returns the length of the longest datagram sent.
     pub fn longest_datagram(&self) -> usize {
         self.longest
     }
 
-    /// Lets time pass until `holds`, which must come within `span`.
-    pub fn run_until(&mut self, span: Span, what: &str, holds: impl Fn(&Net) -> bool) {
+    /// Runs until `holds` returns true, and panics if that takes longer than `span`.
+    pub fn run_until(&mut self, span: Span, condition: &str, holds: impl Fn(&Net) -> bool) {
         let end = self.now.plus(span);
         while !holds(self) {
-            assert!(self.now < end, "seed {}: not within {} s: {what}", self.seed, span.secs());
+            assert!(self.now < end, "seed {}: not within {} s: {condition}", self.seed, span.secs());
             self.run(Span::from_millis(100));
         }
     }
 
-    /// Time passes for all at once, without anything happening.
+    /// Advances the time without processing anything.
     pub fn jump(&mut self, span: Span) {
         self.now = self.now.plus(span);
     }
 
-    /// Lets time pass.
+    /// Processes all datagrams and polls due within `span`.
     pub fn run(&mut self, span: Span) {
         let end = self.now.plus(span);
         loop {
@@ -292,15 +292,15 @@
     }
 
     fn deliver(&mut self) {
-        let Some(Reverse((_, place))) = self.queue.pop() else { return };
-        let Some(InFlight { from, to, bytes }) = self.in_flight[place].take() else { return };
-        self.free.push(place);
+        let Some(Reverse((_, slot))) = self.queue.pop() else { return };
+        let Some(InFlight { from, to, bytes }) = self.in_flight[slot].take() else { return };
+        self.free.push(slot);
         let now = self.now;
         if self.groups[number_of(from)] != self.groups[to] {
             return;
         }
         if let Some(node) = self.nodes[to].as_mut().filter(|node| node.due.is_some()) {
-            // What a replica refuses it counts.
+            // The replica counts refused datagrams itself.
             let _ = node.replica.receive(now, from, &bytes);
             self.schedule(to);
         }
@@ -313,7 +313,7 @@
         let mut out = Vec::new();
         node.replica.poll(now, &mut out);
         let due = node.replica.next_due();
-        assert!(due > now, "seed {}: replica {no} is due at once again", self.seed);
+        assert!(due > now, "seed {}: replica {no} is due again immediately", self.seed);
         node.due = Some(due);
         if due < Time(u64::MAX) {
             self.polls.push(Reverse((due, no)));
@@ -321,7 +321,7 @@
         self.send(no, out);
     }
 
-    /// The replica may be due earlier now.
+    /// Reschedules the poll of a replica that may be due earlier now.
     fn schedule(&mut self, no: usize) {
         let now = self.now;
         let node = self.node_mut(no);
@@ -336,35 +336,35 @@
         for (to, bytes) in out {
             assert!(bytes.len() <= MAX_DATAGRAM, "seed {}: {} bytes", self.seed, bytes.len());
             self.longest = self.longest.max(bytes.len());
-            if self.samples.len() < SAMPLES {
+            if self.samples.len() < MAX_SAMPLES {
                 self.samples.push(bytes.clone());
             }
-            if self.share() < self.links.twice {
-                self.put_on_the_way(from, to, bytes.clone());
+            if self.random_fraction() < self.links.duplicated {
+                self.put_in_flight(from, to, bytes.clone());
             }
-            if self.share() >= self.links.loss {
-                self.put_on_the_way(from, to, bytes);
+            if self.random_fraction() >= self.links.loss {
+                self.put_in_flight(from, to, bytes);
             }
         }
     }
 
-    fn put_on_the_way(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+    fn put_in_flight(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let to = number_of(to);
         if to >= self.nodes.len() {
             return;
         }
-        let (least, most) = self.links.delay_ms;
-        let delay = least + self.draw((most - least + 1) as usize) as u64;
+        let (min, max) = self.links.delay_ms;
+        let delay = min + self.random_below((max - min + 1) as usize) as u64;
         let datagram = Some(InFlight { from: address_of(from), to, bytes });
-        let place = self.free.pop().unwrap_or(self.in_flight.len());
-        if place == self.in_flight.len() {
+        let slot = self.free.pop().unwrap_or(self.in_flight.len());
+        if slot == self.in_flight.len() {
             self.in_flight.push(None);
         }
-        self.in_flight[place] = datagram;
-        self.queue.push(Reverse((self.now.plus(Span::from_millis(delay)), place)));
+        self.in_flight[slot] = datagram;
+        self.queue.push(Reverse((self.now.plus(Span::from_millis(delay)), slot)));
     }
 
-    fn share(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 }
