--- a/src/replication/log.rs
+++ b/src/replication/log.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     version: SourceVersion,
-    /// The latest applied changes; the last one has the number of `version`.
+    /// The latest applied changes, empty after a snapshot; otherwise the last one has the number of `version`.
     changes: VecDeque<Arc<Change>>,
     out_of_order: BTreeMap<u32, Arc<Change>>,
 }
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -243,7 +243,7 @@
     pub received_bytes: u64,
     /// Datagrams dropped because they came from another cluster or from an unknown sender.
     pub dropped: u64,
-    /// Datagrams that could not be decoded.
+    /// Datagrams that could not be decoded or had a field out of bounds.
     pub malformed: u64,
     /// Datagrams or rumor rounds deferred because the byte budget or the outbox was exhausted.
     pub deferred: u64,
@@ -290,7 +290,7 @@
     counts: ReplicaCounts,
     last_poll: Time,
     last_contact: Time,
-    /// When a caught-up member last sent something.
+    /// When a caught-up member last sent a digest or hashes.
     last_ready_peer: Time,
     next_rumor_round: Time,
     next_digest: Time,
