--- a/src/iax2/bounds.rs
+++ b/src/iax2/bounds.rs
@@ -1,25 +1,26 @@
-//! How many legs callers may begin: in all, from one address, and from one network. No socket and no clock here.
+//! Limits on incoming legs: in total, from one address, and from one network. This module opens no socket and reads no
+//! clock.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
 
 use serde::Deserialize;
 
-/// Bits of an address that tell its network: a usual site's.
-const NETWORK_V4: u32 = 24;
-const NETWORK_V6: u32 = 48;
-/// Bits of an IPv6 address that stand for one subscriber, who may take any of the rest.
-const ADDRESS_V6: u32 = 64;
+/// Prefix lengths of a network, as a site usually has it.
+const NETWORK_V4_BITS: u32 = 24;
+const NETWORK_V6_BITS: u32 = 48;
+/// Prefix length that counts as one IPv6 address: a subscriber may use any address of its /64.
+const ADDRESS_V6_BITS: u32 = 64;
 
-/// How many legs callers may have, those that rest after their end with them.
+/// How many incoming legs may exist, including ended ones whose numbers are not reusable yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// In all.
+    /// In total.
     pub total: usize,
-    /// From one address; of IPv6 from one /64.
+    /// From one address; for IPv6, from one /64.
     pub address: usize,
-    /// From one network: a /24, of IPv6 a /48.
+    /// From one network: a /24, or a /48 for IPv6.
     pub network: usize,
 }
 
@@ -29,18 +30,18 @@
     }
 }
 
-/// A bound that was met.
+/// The limit that was reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LimitReached {
-    /// `total`.
+    /// [`Bounds::total`].
     Total,
-    /// `address`.
+    /// [`Bounds::address`].
     Address,
-    /// `network`.
+    /// [`Bounds::network`].
     Network,
 }
 
-/// What was begun, counted by address and network.
+/// Incoming legs, counted by address and network.
 #[derive(Debug, Default)]
 pub struct IncomingLegCounts {
     by_address: BTreeMap<IpAddr, usize>,
@@ -56,19 +57,19 @@
 }
 
 fn address_of(ip: IpAddr) -> IpAddr {
-    masked(ip, 32, ADDRESS_V6)
+    masked(ip, 32, ADDRESS_V6_BITS)
 }
 
-/// The network of an address: a /24, of IPv6 a /48.
+/// The network of an address: a /24, or a /48 for IPv6.
 pub fn network_of(ip: IpAddr) -> IpAddr {
-    masked(ip, NETWORK_V4, NETWORK_V6)
+    masked(ip, NETWORK_V4_BITS, NETWORK_V6_BITS)
 }
 
 impl IncomingLegCounts {
-    /// One more from this address, if the bounds allow it.
-    pub fn begin(&mut self, from: IpAddr, bounds: &Bounds) -> Result<(), LimitReached> {
+    /// Counts a leg from this address, if the limits allow it.
+    pub fn add(&mut self, from: IpAddr, bounds: &Bounds) -> Result<(), LimitReached> {
         let (address, network) = (address_of(from), network_of(from));
-        let count = |counts: &BTreeMap<IpAddr, usize>, of| counts.get(&of).copied().unwrap_or(0);
+        let count = |counts: &BTreeMap<IpAddr, usize>, key| counts.get(&key).copied().unwrap_or(0);
         if self.total >= bounds.total {
             return Err(LimitReached::Total);
         }
@@ -84,22 +85,22 @@
         Ok(())
     }
 
-    /// One less. Nothing is kept of an address that has none left.
-    pub fn end(&mut self, from: IpAddr) {
-        for (counts, of) in
+    /// Removes a leg of this address. An address without legs keeps no entry.
+    pub fn remove(&mut self, from: IpAddr) {
+        for (counts, key) in
             [(&mut self.by_address, address_of(from)), (&mut self.by_network, network_of(from))]
         {
-            if let Some(count) = counts.get_mut(&of) {
+            if let Some(count) = counts.get_mut(&key) {
                 *count -= 1;
                 if *count == 0 {
-                    counts.remove(&of);
+                    counts.remove(&key);
                 }
             }
         }
         self.total = self.total.saturating_sub(1);
     }
 
-    /// Whether nothing is begun, and nothing kept.
+    /// Whether no leg is counted and no entry is left.
     pub fn is_empty(&self) -> bool {
         self.total == 0 && self.by_address.is_empty() && self.by_network.is_empty()
     }
@@ -114,11 +115,11 @@
     }
 
     #[test]
-    fn each_bound_holds_by_itself_and_room_comes_back() {
+    fn each_limit_applies_by_itself_and_removed_legs_free_room() {
         let bounds = Bounds { total: 10, address: 2, network: 3 };
-        let mut begun = IncomingLegCounts::default();
-        let mut taken = Vec::new();
-        for (from, met) in [
+        let mut counts = IncomingLegCounts::default();
+        let mut accepted = Vec::new();
+        for (from, limit) in [
             ("10.0.0.1", None),
             ("10.0.0.1", None),
             ("10.0.0.1", Some(LimitReached::Address)),
@@ -136,11 +137,11 @@
             ("10.0.4.1", None),
             ("10.0.5.1", Some(LimitReached::Total)),
         ] {
-            assert_eq!(begun.begin(ip(from), &bounds).err(), met, "{from}");
-            taken.extend(met.is_none().then(|| ip(from)));
+            assert_eq!(counts.add(ip(from), &bounds).err(), limit, "{from}");
+            accepted.extend(limit.is_none().then(|| ip(from)));
         }
-        taken.into_iter().for_each(|from| begun.end(from));
-        assert!(begun.is_empty());
-        assert_eq!(begun.begin(ip("10.0.0.3"), &bounds), Ok(()));
+        accepted.into_iter().for_each(|from| counts.remove(from));
+        assert!(counts.is_empty());
+        assert_eq!(counts.add(ip("10.0.0.3"), &bounds), Ok(()));
     }
 }
--- a/src/iax2/describe.rs
+++ b/src/iax2/describe.rs
@@ -1,11 +1,12 @@
-//! How IAX2's media formats and a call's description stand for each other, so that either passes unchanged.
+//! Conversion between IAX2 media formats and the textual description of a call, so that either passes the controller
+//! unchanged.
 
 use crate::iax2::frame::{ie, Elements};
 
-/// G.711 mu-law, which every side can do.
+/// G.711 mu-law, which every endpoint supports.
 const ULAW: u32 = 0x0000_0004;
 
-/// The description of a leg that came in: the one that it carries, else its formats put as text.
+/// The description that received elements carry: the variable `desc`, else their media formats as text.
 pub fn description_of(elements: &Elements) -> String {
     if let Some(text) = elements.variable("desc") {
         return text;
@@ -15,9 +16,10 @@
     format!("iax2 capability={capability:08x} format={format:08x}")
 }
 
-/// Puts a description on a leg that goes out: as formats where it was made of some, else in full.
+/// Adds a description to outgoing elements: as media formats if it was made from them by [`description_of`], else as the
+/// variable `desc`.
 pub fn add_description(elements: Elements, body: &str) -> Elements {
-    let formats = formats_in(body);
+    let formats = formats_of(body);
     let (capability, format) = formats.unwrap_or((ULAW, ULAW));
     let elements =
         elements.with(ie::CAPABILITY, &capability.to_be_bytes()).with(ie::FORMAT, &format.to_be_bytes());
@@ -28,8 +30,9 @@
     }
 }
 
-fn formats_in(body: &str) -> Option<(u32, u32)> {
+/// The capability and format of a description that [`description_of`] made from media formats.
+fn formats_of(body: &str) -> Option<(u32, u32)> {
     let (capability, format) = body.strip_prefix("iax2 capability=")?.split_once(" format=")?;
-    let number = |hex: &str| u32::from_str_radix(hex, 16).ok().filter(|n| format!("{n:08x}") == hex);
-    Some((number(capability)?, number(format)?))
+    let parse_hex = |hex: &str| u32::from_str_radix(hex, 16).ok().filter(|n| format!("{n:08x}") == hex);
+    Some((parse_hex(capability)?, parse_hex(format)?))
 }
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -1,38 +1,38 @@
-//! Full frames and their information elements: bytes in and out.
+//! IAX2 frames and information elements: parsing and serialization.
 
 use thiserror::Error;
 
-/// A call number takes 15 bits.
+/// The highest call number: it has 15 bits.
 pub const MAX_CALL_NUMBER: u16 = 0x7fff;
-/// The longest datagram taken or sent.
+/// The largest datagram accepted or sent.
 pub const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
-/// The F bit of a full frame, and where other frames have a bit of their own.
-const FULL: u16 = 0x8000;
-/// The meta command of a trunk.
-const TRUNK: u8 = 1;
-/// Bytes of a full frame ahead of its information elements.
-const HEADER: usize = 12;
+/// The top bit of a 16-bit header word: the F bit that marks a full frame, the R bit, or the mark of a video frame.
+const TOP_BIT: u16 = 0x8000;
+/// The meta command of a trunk frame.
+const META_TRUNK: u8 = 1;
+/// Bytes of the header of a full frame.
+const HEADER_BYTES: usize = 12;
 
 macro_rules! codes {
     ($(#[$doc:meta])* $name:ident { $($variant:ident = $code:literal),* $(,)? }) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-        #[allow(missing_docs)] // the names are the RFC's
+        #[allow(missing_docs)] // the variants have the RFC's names
         pub enum $name {
             $($variant,)*
-            /// A code that the RFC does not give.
+            /// A code that the RFC does not define.
             Other(u8),
         }
         impl $name {
-            /// Its code: the subclass on the wire.
+            /// The code: the subclass on the wire.
             pub fn code(self) -> u8 {
                 match self { $($name::$variant => $code,)* $name::Other(code) => code }
             }
-            /// What a code stands for.
+            /// The value of a code.
             pub fn of(code: u8) -> Self {
                 match code { $($code => $name::$variant,)* code => $name::Other(code) }
             }
-            /// All that the RFC names.
+            /// All values that the RFC defines.
             pub const ALL: &'static [$name] = &[$($name::$variant),*];
         }
     };
@@ -101,35 +101,35 @@
     }
 );
 
-/// What a full frame is (RFC 5456, 8.2). Formats are the RFC's bits (8.7): one of them is set.
+/// The type and subclass of a full frame (RFC 5456, 8.2). A media format is one of the RFC's bits (8.7).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A digit, as ASCII.
+    /// A DTMF digit, in ASCII.
     Dtmf(u8),
-    /// Sound in a format.
+    /// Voice in a format.
     Voice(u32),
-    /// Pictures that move, in a format.
+    /// Video in a format.
     Video(u32),
     /// A control frame.
     Control(Control),
-    /// Nothing; it is passed over.
+    /// A null frame, which is ignored.
     Null,
     /// An IAX control frame.
     Iax(Iax),
     /// Text.
     Text,
-    /// A picture in a format.
+    /// An image in a format.
     Image(u32),
-    /// A part of a page, by its subclass.
+    /// HTML, with its subclass.
     Html(u8),
-    /// Silence, at a level in -dBov.
+    /// Comfort noise, at a level in -dBov.
     ComfortNoise(u8),
-    /// A type or a subclass that the RFC does not give.
+    /// A type or subclass that the RFC does not define.
     Other(u8, u8),
 }
 
 impl Kind {
-    /// Type and subclass on the wire.
+    /// The type and subclass on the wire.
     fn codes(self) -> (u8, u8) {
         match self {
             Kind::Dtmf(digit) => (1, digit),
@@ -146,10 +146,10 @@
         }
     }
 
-    /// What type and subclass stand for.
+    /// The kind with this type and subclass on the wire.
     fn of(kind: u8, subclass: u8) -> Kind {
         let other = Kind::Other(kind, subclass);
-        let plain = subclass < POWER;
+        let plain = subclass < POWER_BIT;
         match (kind, value_of(subclass)) {
             (1, _) if plain => Kind::Dtmf(subclass),
             (2, Some(format)) => Kind::Voice(format),
@@ -165,55 +165,55 @@
         }
     }
 
-    /// Whether it takes a sequence number of its own (RFC 5456, 7.1: these do not).
+    /// Whether a frame of this kind takes a sequence number (RFC 5456, 7.1, names those that do not).
     pub fn takes_sequence_number(self) -> bool {
         use Iax::{Ack, CallToken, Inval, TxAcc, TxCnt, Vnak};
         !matches!(self, Kind::Iax(Ack | Inval | Vnak | TxCnt | TxAcc | CallToken))
     }
 
-    /// Whether it is what a call is for, not how it is set up.
+    /// Whether a frame of this kind carries media, as opposed to signalling.
     pub fn is_media(self) -> bool {
         use Kind::{ComfortNoise, Dtmf, Html, Image, Text, Video, Voice};
         matches!(self, Dtmf(_) | Voice(_) | Video(_) | Text | Image(_) | Html(_) | ComfortNoise(_))
     }
 }
 
-/// What an UNSUPPORT says to an IAX control frame on a leg; none where nothing is to be said: those that belong to every
-/// leg are dealt with before, and answers to what was never asked are passed over (RFC 5456, 6.9.4).
+/// The elements of the UNSUPPORT that answers an IAX control frame on a leg (RFC 5456, 6.9.4). `None` for frames that
+/// every leg handles, and for replies that were not asked for, which are ignored.
 pub fn unsupport_reply(iax: Iax) -> Option<Elements> {
     use Iax::{Accept, Ack, AuthReq, Hangup, Inval, LagRp, New, Pong, Reject, Unsupport, Vnak};
-    let answers = matches!(
+    let ignored = matches!(
         iax,
         Accept | Ack | AuthReq | Hangup | Inval | LagRp | New | Pong | Reject | Unsupport | Vnak
     );
-    (!answers).then(|| Elements::default().with(ie::IAX_UNKNOWN, &[iax.code()]))
+    (!ignored).then(|| Elements::default().with(ie::IAX_UNKNOWN, &[iax.code()]))
 }
 
 /// The C bit: the subclass is the exponent of a power of two (RFC 5456, 8.1.1).
-const POWER: u8 = 0x80;
+const POWER_BIT: u8 = 0x80;
 
-/// A subclass on the wire for a value: itself where it fits, else the exponent of a power of two.
+/// The subclass on the wire of a value: the value itself where it fits, else the exponent of a power of two.
 fn subclass_of(value: u32) -> u8 {
     match u8::try_from(value) {
-        Ok(small) if small < POWER => small,
-        _ => POWER | (31_u32.saturating_sub(value.leading_zeros()) as u8),
+        Ok(small) if small < POWER_BIT => small,
+        _ => POWER_BIT | (31_u32.saturating_sub(value.leading_zeros()) as u8),
     }
 }
 
-/// The value of a subclass; none where the exponent is too large for one.
+/// The value of a subclass on the wire; `None` if the exponent is too large.
 fn value_of(subclass: u8) -> Option<u32> {
-    if subclass < POWER {
+    if subclass < POWER_BIT {
         return Some(subclass.into());
     }
-    1_u32.checked_shl(u32::from(subclass & !POWER))
+    1_u32.checked_shl(u32::from(subclass & !POWER_BIT))
 }
 
 macro_rules! elements {
     ($($(#[$doc:meta])* $name:ident = $code:literal),* $(,)?) => {
-        /// Information elements (RFC 5456, 8.6), and those that exchanges use beside them.
+        /// Information elements (RFC 5456, 8.6), and others in common use.
         pub mod ie {
             $($(#[$doc])* pub const $name: u8 = $code;)*
-            /// Its name, for people.
+            /// The name of an element.
             pub fn name(element: u8) -> Option<&'static str> {
                 match element { $($code => Some(stringify!($name)),)* _ => None }
             }
@@ -224,77 +224,77 @@
 elements! {
     /// The number called.
     CALLED_NUMBER = 0x01,
-    /// Who calls.
+    /// The number of the caller.
     CALLING_NUMBER = 0x02,
-    /// Who calls, as the line is billed.
+    /// The calling number for billing (ANI).
     CALLING_ANI = 0x03,
-    /// Who calls, by name.
+    /// The name of the caller.
     CALLING_NAME = 0x04,
-    /// Where it is called: the class.
+    /// The context called: the class of the call.
     CALLED_CONTEXT = 0x05,
-    /// Who asks.
+    /// The user name of the peer that calls or registers.
     USERNAME = 0x06,
-    /// A secret as it is.
+    /// A secret in plain text.
     PASSWORD = 0x07,
-    /// Formats that the caller can do.
+    /// Media formats that the sender supports.
     CAPABILITY = 0x08,
-    /// The format chosen or wanted.
+    /// The media format chosen or preferred.
     FORMAT = 0x09,
-    /// The language wanted.
+    /// The preferred language.
     LANGUAGE = 0x0a,
-    /// Protocol version: 2.
+    /// The protocol version: 2.
     VERSION = 0x0b,
-    /// Of displays.
+    /// The ADSI capability of the sender.
     ADSICPE = 0x0c,
-    /// The number first called.
+    /// The number originally dialled.
     DNID = 0x0d,
-    /// Ways to authenticate: 1 plain text, 2 MD5, 4 RSA.
+    /// Authentication methods: 1 plain text, 2 MD5, 4 RSA.
     AUTHMETHODS = 0x0e,
-    /// What MD5 and RSA are done on.
+    /// The challenge for MD5 and RSA.
     CHALLENGE = 0x0f,
-    /// MD5 of challenge and secret, as hex.
+    /// The MD5 of challenge and secret, in hexadecimal.
     MD5_RESULT = 0x10,
-    /// RSA signature of the challenge, as base64.
+    /// The RSA signature of the challenge, in base64.
     RSA_RESULT = 0x11,
-    /// Where the receiver sees the sender.
+    /// The address of the sender as the receiver sees it.
     APPARENT_ADDR = 0x12,
-    /// Seconds until a registration must be renewed.
+    /// Seconds within which a registration must be renewed.
     REFRESH = 0x13,
-    /// What is known of a number that is being dialled.
+    /// The dial plan status of a number.
     DPSTATUS = 0x14,
-    /// A call number of a transfer.
+    /// The call number of a transfer.
     CALLNO = 0x15,
-    /// Why a call ended, as text.
+    /// The reason why a call ended, as text.
     CAUSE = 0x16,
-    /// The subclass that is not supported.
+    /// The IAX control subclass that is not supported.
     IAX_UNKNOWN = 0x17,
-    /// Messages that wait.
+    /// The number of waiting messages.
     MSGCOUNT = 0x18,
-    /// Answer by itself.
+    /// A request for automatic answer.
     AUTOANSWER = 0x19,
     /// Music on hold.
     MUSICONHOLD = 0x1a,
-    /// Of a transfer.
+    /// The identifier of a transfer.
     TRANSFERID = 0x1b,
-    /// The number that sent the call on.
+    /// The number that redirected the call.
     RDNIS = 0x1c,
-    /// Local time.
+    /// The local date and time.
     DATETIME = 0x1f,
-    /// Whether the calling number may be shown.
+    /// Whether the calling number may be presented.
     CALLINGPRES = 0x26,
-    /// Type of the calling number.
+    /// The type of the calling number.
     CALLINGTON = 0x27,
-    /// Network of the calling number.
+    /// The transit network of the calling number.
     CALLINGTNS = 0x28,
-    /// Samples a second.
+    /// The sampling rate.
     SAMPLINGRATE = 0x29,
-    /// Why a call ended, as a Q.850 code.
+    /// The reason why a call ended, as a Q.850 code.
     CAUSE_CODE = 0x2a,
-    /// Ways to encrypt: 1 AES-128.
+    /// Encryption methods: 1 AES-128.
     ENCRYPTION = 0x2b,
-    /// A key.
+    /// An encryption key.
     ENCKEY = 0x2c,
-    /// Formats in order of preference.
+    /// Media formats in order of preference.
     CODEC_PREFS = 0x2d,
     /// Receiver report: jitter.
     RR_JITTER = 0x2e,
@@ -304,30 +304,30 @@
     RR_PKTS = 0x30,
     /// Receiver report: delay.
     RR_DELAY = 0x31,
-    /// Receiver report: dropped.
+    /// Receiver report: dropped frames.
     RR_DROPPED = 0x32,
-    /// Receiver report: out of order.
+    /// Receiver report: frames out of order.
     RR_OOO = 0x33,
-    /// `name=value`, the channel variable that IAX2 exchanges carry beside the RFC's elements.
+    /// A channel variable, `name=value`: an element in common use beside those of the RFC.
     VARIABLE = 0x34,
     /// A token of the Open Settlement Protocol.
     OSPTOKEN = 0x35,
-    /// A call token; empty to ask for one.
+    /// A call token; empty where the sender asks for one.
     CALLTOKEN = 0x36,
 }
 
-/// Information elements in order.
+/// Information elements, in their order in the frame.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Elements(pub Vec<(u8, Vec<u8>)>);
 
 impl Elements {
-    /// With one more.
+    /// Appends an element. A value is cut to 255 bytes.
     #[must_use]
     pub fn with(mut self, element: u8, value: &[u8]) -> Self {
         self.0.push((element, value[..value.len().min(255)].to_vec()));
         self
     }
-    /// With a variable; a long value goes into several of the same name, in order.
+    /// Appends a variable. A long value is split over several variables of the same name, in order.
     #[must_use]
     pub fn with_variable(mut self, name: &str, value: &str) -> Self {
         let room = 254 - name.len().min(100);
@@ -343,20 +343,20 @@
         }
         self
     }
-    /// The first of a kind.
+    /// The value of the first such element.
     pub fn get(&self, element: u8) -> Option<&[u8]> {
         self.0.iter().find(|(e, _)| *e == element).map(|(_, value)| value.as_slice())
     }
-    /// The first of a kind, as text.
+    /// The value of the first such element, as text.
     pub fn text(&self, element: u8) -> Option<&str> {
         std::str::from_utf8(self.get(element)?).ok()
     }
-    /// The first of a kind, as a number of whatever width.
+    /// The value of the first such element, as a number of one to four bytes.
     pub fn number(&self, element: u8) -> Option<u32> {
         let bytes = self.get(element)?;
         (1..=4).contains(&bytes.len()).then(|| bytes.iter().fold(0, |n, byte| n << 8 | u32::from(*byte)))
     }
-    /// A variable, its parts put together.
+    /// The value of a variable, joined from its parts.
     pub fn variable(&self, name: &str) -> Option<String> {
         let mut whole: Option<Vec<u8>> = None;
         for (_, value) in self.0.iter().filter(|(e, _)| *e == ie::VARIABLE) {
@@ -372,92 +372,92 @@
 /// A full frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
-    /// The sender's call number.
+    /// The sender's call number (source call number).
     pub source: u16,
-    /// The receiver's call number; 0 if not yet known.
+    /// The receiver's call number (destination call number); 0 if not yet known.
     pub dest: u16,
-    /// Whether it was sent before.
+    /// The R bit: whether this is a retransmission.
     pub retransmitted: bool,
-    /// Milliseconds of the sender's leg.
+    /// Milliseconds since the start of the sender's leg.
     pub timestamp: u32,
-    /// The frame's own sequence number.
+    /// The sequence number of this frame (OSeqno).
     pub oseq: u8,
-    /// The sequence number that the sender expects next.
+    /// The sequence number that the sender expects next (ISeqno).
     pub iseq: u8,
-    /// What it is.
+    /// Its type and subclass.
     pub kind: Kind,
-    /// Its information elements; only IAX control frames have any.
+    /// Its information elements. Only IAX control frames have any.
     pub elements: Elements,
-    /// What any other frame carries.
+    /// The payload of any other frame.
     pub data: Vec<u8>,
 }
 
-/// A part of a trunk frame: the media of one call.
+/// An entry of a trunk frame: the media of one call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrunkEntry {
     /// The sender's call number.
     pub source: u16,
-    /// The low half of the sender's time, where the trunk carries one for each call.
+    /// The low 16 bits of the sender's timestamp, where the trunk frame has one for each call.
     pub timestamp: Option<u16>,
-    /// Sound, in the format that the call's last full voice frame named.
+    /// Voice, in the format of the call's last full voice frame.
     pub data: Vec<u8>,
 }
 
-/// A datagram, read.
+/// A parsed datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Datagram {
     /// A full frame.
     Full(Frame),
-    /// A mini frame (8.1.2): sound with the low half of the sender's time.
+    /// A mini frame (8.1.2): voice with the low 16 bits of the sender's timestamp.
     Mini {
         /// The sender's call number.
         source: u16,
-        /// The low 16 bits of milliseconds of the sender's leg.
+        /// The low 16 bits of the sender's timestamp.
         timestamp: u16,
-        /// Sound, in the format that the call's last full voice frame named.
+        /// Voice, in the format of the call's last full voice frame.
         data: Vec<u8>,
     },
     /// A meta video frame (8.1.3.1).
     Video {
         /// The sender's call number.
         source: u16,
-        /// The mark that ends a picture.
+        /// Whether this frame ends a picture.
         mark: bool,
-        /// The low 15 bits of milliseconds of the sender's leg.
+        /// The low 15 bits of the sender's timestamp.
         timestamp: u16,
-        /// Pictures, in the format that the call's last full video frame named.
+        /// Video, in the format of the call's last full video frame.
         data: Vec<u8>,
     },
     /// A meta trunk frame (8.1.3.2).
     Trunk {
-        /// Milliseconds of the trunk.
+        /// The timestamp of the trunk, in milliseconds.
         timestamp: u32,
-        /// The calls.
+        /// The entries, one for each call.
         entries: Vec<TrunkEntry>,
     },
 }
 
-/// A frame that cannot be read. It costs itself alone.
+/// Why a datagram cannot be parsed. Only the datagram is dropped; its call is not affected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// Too few bytes for its header.
-    #[error("a frame of {0} bytes is cut short")]
+    /// The header or a trunk entry is incomplete.
+    #[error("frame of {0} bytes is truncated")]
     TooShort(usize),
-    /// Too many bytes.
-    #[error("a frame of {0} bytes is too long")]
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
+    #[error("frame of {0} bytes is too long")]
     TooLong(usize),
-    /// An information element runs past the end.
-    #[error("information element {0:#04x} runs past the end")]
+    /// An information element extends beyond the end of the frame.
+    #[error("information element {0:#04x} extends beyond the end of the frame")]
     TruncatedElement(u8),
-    /// A frame needs a call number.
-    #[error("a frame without a call number")]
+    /// The source call number is missing.
+    #[error("frame without a source call number")]
     NoCallNumber,
-    /// A meta frame whose command is not the RFC's.
-    #[error("meta command {0:#04x} is not known")]
+    /// A meta frame with a command that the RFC does not define.
+    #[error("unknown meta command {0:#04x}")]
     UnknownMetaCommand(u8),
 }
 
-/// Reads a datagram.
+/// Parses a datagram.
 pub fn parse(bytes: &[u8]) -> Result<Datagram, FrameError> {
     if bytes.len() < 4 {
         return Err(FrameError::TooShort(bytes.len()));
@@ -468,23 +468,23 @@
     let word = |at: usize| u16::from_be_bytes([bytes[at], bytes[at + 1]]);
     match word(0) {
         0 => return meta(bytes),
-        source if source & FULL == 0 => {
+        source if source & TOP_BIT == 0 => {
             return Ok(Datagram::Mini { source, timestamp: word(2), data: bytes[4..].to_vec() });
         }
         _ => {}
     }
-    if bytes.len() < HEADER {
+    if bytes.len() < HEADER_BYTES {
         return Err(FrameError::TooShort(bytes.len()));
     }
     let source = word(0) & MAX_CALL_NUMBER;
-    // Who does not know a call whose number was not yet told has no number of its own to give: an INVAL to the HANGUP of
-    // a lost NEW comes without one (RFC 5456, 6.9.2).
+    // The INVAL that answers the HANGUP of a lost NEW has no source call number: the HANGUP had no destination call
+    // number, and the peer has no leg for the call (RFC 5456, 6.9.2).
     if source == 0 && bytes[10..12] != [6, Iax::Inval.code()] {
         return Err(FrameError::NoCallNumber);
     }
     let kind = Kind::of(bytes[10], bytes[11]);
-    let rest = &bytes[HEADER..];
-    // Only IAX control frames carry elements; what follows other headers is their own.
+    let rest = &bytes[HEADER_BYTES..];
+    // Only IAX control frames carry information elements. The payload of other frames is kept as it is.
     let (elements, data) = match kind {
         Kind::Iax(_) => (elements(rest)?, Vec::new()),
         _ => (Elements::default(), rest.to_vec()),
@@ -492,7 +492,7 @@
     Ok(Datagram::Full(Frame {
         source,
         dest: word(2) & MAX_CALL_NUMBER,
-        retransmitted: word(2) & FULL != 0,
+        retransmitted: word(2) & TOP_BIT != 0,
         timestamp: u32::from_be_bytes([bytes[4], bytes[5], bytes[6], bytes[7]]),
         oseq: bytes[8],
         iseq: bytes[9],
@@ -502,33 +502,33 @@
     }))
 }
 
-/// Reads a meta frame.
+/// Parses a meta frame.
 fn meta(bytes: &[u8]) -> Result<Datagram, FrameError> {
     let short = || FrameError::TooShort(bytes.len());
     let word = |at: usize| Some(u16::from_be_bytes([*bytes.get(at)?, *bytes.get(at + 1)?]));
     let second = word(2).ok_or_else(short)?;
-    if second & FULL != 0 {
-        let (source, time) = (second & MAX_CALL_NUMBER, word(4).ok_or_else(short)?);
+    if second & TOP_BIT != 0 {
+        let (source, last_word) = (second & MAX_CALL_NUMBER, word(4).ok_or_else(short)?);
         if source == 0 {
             return Err(FrameError::NoCallNumber);
         }
-        let (mark, timestamp) = (time & FULL != 0, time & !FULL);
+        let (mark, timestamp) = (last_word & TOP_BIT != 0, last_word & !TOP_BIT);
         return Ok(Datagram::Video { source, mark, timestamp, data: bytes[6..].to_vec() });
     }
-    let timed = match bytes[2..4] {
-        [TRUNK, 0] => false,
-        [TRUNK, 1] => true,
-        [TRUNK, other] | [other, _] => return Err(FrameError::UnknownMetaCommand(other)),
+    let with_timestamps = match bytes[2..4] {
+        [META_TRUNK, 0] => false,
+        [META_TRUNK, 1] => true,
+        [META_TRUNK, other] | [other, _] => return Err(FrameError::UnknownMetaCommand(other)),
         _ => return Err(short()),
     };
     let timestamp = bytes.get(4..8).and_then(|four| four.try_into().ok()).map(u32::from_be_bytes);
     let timestamp = timestamp.ok_or_else(short)?;
     let (mut entries, mut at) = (Vec::new(), 8);
     while at < bytes.len() {
-        let head = if timed { 6 } else { 4 };
+        let head = if with_timestamps { 6 } else { 4 };
         let (first, second) = (word(at).ok_or_else(short)?, word(at + 2).ok_or_else(short)?);
-        let (length, source) = if timed { (first, second) } else { (second, first) };
-        let timestamp = if timed { Some(word(at + 4).ok_or_else(short)?) } else { None };
+        let (length, source) = if with_timestamps { (first, second) } else { (second, first) };
+        let timestamp = if with_timestamps { Some(word(at + 4).ok_or_else(short)?) } else { None };
         let end = at + head + usize::from(length);
         let data = bytes.get(at + head..end).ok_or_else(short)?.to_vec();
         let source = source & MAX_CALL_NUMBER;
@@ -542,7 +542,7 @@
 }
 
 impl Datagram {
-    /// Its bytes. Entries of a trunk carry times if the first does.
+    /// The datagram as bytes. All entries of a trunk frame have timestamps if the first one has.
     pub fn bytes(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         match self {
@@ -554,18 +554,18 @@
             }
             Datagram::Video { source, mark, timestamp, data } => {
                 bytes.extend([0, 0]);
-                bytes.extend((source | FULL).to_be_bytes());
-                bytes.extend(((timestamp & !FULL) | if *mark { FULL } else { 0 }).to_be_bytes());
+                bytes.extend((source | TOP_BIT).to_be_bytes());
+                bytes.extend(((timestamp & !TOP_BIT) | if *mark { TOP_BIT } else { 0 }).to_be_bytes());
                 bytes.extend(data);
             }
             Datagram::Trunk { timestamp, entries } => {
-                let timed = entries.first().is_some_and(|entry| entry.timestamp.is_some());
-                bytes.extend([0, 0, TRUNK, u8::from(timed)]);
+                let with_timestamps = entries.first().is_some_and(|entry| entry.timestamp.is_some());
+                bytes.extend([0, 0, META_TRUNK, u8::from(with_timestamps)]);
                 bytes.extend(timestamp.to_be_bytes());
                 for TrunkEntry { source, timestamp, data } in entries {
                     let length = u16::try_from(data.len()).unwrap_or(u16::MAX);
                     let (source, length) = ((source & MAX_CALL_NUMBER).to_be_bytes(), length.to_be_bytes());
-                    if timed {
+                    if with_timestamps {
                         bytes.extend(length);
                         bytes.extend(source);
                         bytes.extend(timestamp.unwrap_or(0).to_be_bytes());
@@ -581,16 +581,16 @@
     }
 }
 
-/// A sender's whole time from its low bits, by the last whole time that was seen: the one that is nearest. Frames may
-/// come out of order across the wrap. `bits`: 16 for mini frames, 15 for meta video.
+/// The full timestamp that has these low bits and is nearest to `last`, the last full timestamp seen. Frames may arrive out
+/// of order across the wrap. `bits`: 16 for mini frames, 15 for meta video frames.
 pub fn full_timestamp(last: u32, low: u16, bits: u32) -> u32 {
-    let span = 1_u32 << bits;
-    let ahead = u32::from(low).wrapping_sub(last) & (span - 1);
-    // Up to half a span ahead is later; the rest is earlier.
-    if ahead < span / 2 {
+    let range = 1_u32 << bits;
+    let ahead = u32::from(low).wrapping_sub(last) & (range - 1);
+    // Up to half the range ahead is later; the rest is earlier.
+    if ahead < range / 2 {
         last.wrapping_add(ahead)
     } else {
-        last.wrapping_add(ahead).wrapping_sub(span)
+        last.wrapping_add(ahead).wrapping_sub(range)
     }
 }
 
@@ -606,10 +606,10 @@
 }
 
 impl Frame {
-    /// Its bytes.
+    /// The frame as bytes.
     pub fn bytes(&self) -> Vec<u8> {
         let (kind, subclass) = self.kind.codes();
-        let mut bytes = Vec::with_capacity(HEADER + 64);
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + 64);
         bytes.extend((self.source | 0x8000).to_be_bytes());
         bytes.extend((self.dest | if self.retransmitted { 0x8000 } else { 0 }).to_be_bytes());
         bytes.extend(self.timestamp.to_be_bytes());
@@ -623,7 +623,7 @@
         bytes
     }
 
-    /// The answer to a frame of a call that is not known here.
+    /// The INVAL that answers this frame when its call is not known here.
     pub fn inval(&self) -> Frame {
         Frame {
             source: self.dest,
--- a/src/iax2/leg.rs
+++ b/src/iax2/leg.rs
@@ -1,98 +1,121 @@
-//! One leg: sequence numbers, acknowledgements, retransmission.
+//! One call leg: sequence numbers, acknowledgements and retransmission.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
-use crate::iax2::round_trip::{next_gap, COPIES};
+use crate::iax2::round_trip::{next_interval, MAX_RETRANSMISSIONS};
 use crate::interface::{Span, Time};
 
-/// A frame not acknowledged for so long: the other side is silent.
-const SILENT_AFTER: Span = Span::from_millis(4_500);
-/// Frames that may wait to be acknowledged.
-const MOST_UNACKED: usize = 64;
+/// A peer that leaves a frame unacknowledged for this long is silent.
+const SILENCE_TIMEOUT: Span = Span::from_millis(4_500);
+/// Unacknowledged frames kept for retransmission. Further frames are sent once only.
+const MAX_UNACKED: usize = 64;
 
+/// A frame that was sent and is not acknowledged yet.
 #[derive(Debug)]
-struct Sent {
+struct Unacked {
     frame: Frame,
-    first: Time,
-    next: Time,
-    /// The first gap ahead of a copy, and the next one.
-    first_gap: Span,
-    gap: Span,
-    copies: u32,
+    first_sent: Time,
+    next_send: Time,
+    /// The interval before the first retransmission.
+    first_interval: Span,
+    /// The interval before the next retransmission.
+    interval: Span,
+    retransmissions: u32,
 }
 
-impl Sent {
-    fn new(frame: Frame, gap: Span, now: Time) -> Sent {
-        Sent { frame, first: now, next: now.plus(gap), first_gap: gap, gap, copies: 0 }
+impl Unacked {
+    fn new(frame: Frame, interval: Span, now: Time) -> Unacked {
+        Unacked {
+            frame,
+            first_sent: now,
+            next_send: now.plus(interval),
+            first_interval: interval,
+            interval,
+            retransmissions: 0,
+        }
     }
 }
 
-/// What a frame means to its leg.
+/// What a received frame requires of the caller of [`Leg::receive`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameOutcome {
-    /// The next in turn: it is to be acted on, once.
+    /// The frame is next in sequence: it is to be acted on, once.
     Deliver,
-    /// Seen before, ahead of its turn, or about the exchange itself: nothing to act on.
+    /// A duplicate, a frame ahead of its sequence, or one that the leg itself has handled.
     Consumed,
-    /// The other side does not know the call.
+    /// The peer does not know the call.
     UnknownCall,
 }
 
 /// One leg of a call.
 #[derive(Debug)]
 pub struct Leg {
-    /// The call number here.
+    /// The local call number.
     pub local: u16,
-    /// The call number there; 0 until known.
+    /// The peer's call number; 0 until known.
     pub remote: u16,
-    /// Where the other side is.
+    /// The peer's address.
     pub peer: SocketAddr,
-    /// The last frame from there.
-    pub heard: Time,
-    began: Time,
-    stamp: Option<u32>,
+    /// When the last frame was received from the peer.
+    pub last_received: Time,
+    started: Time,
+    last_timestamp: Option<u32>,
     oseq: u8,
     iseq: u8,
-    unacked: VecDeque<Sent>,
-    /// After how long a frame is sent again for the first time.
-    pub first_gap: Span,
-    /// How long the last frame that was sent once took to be acknowledged.
-    took: Option<Span>,
+    unacked: VecDeque<Unacked>,
+    /// The interval before a frame is retransmitted for the first time.
+    pub first_interval: Span,
+    /// Round trip of the last acknowledged frame that had been sent only once.
+    round_trip: Option<Span>,
 }
 
 impl Leg {
-    /// A leg that begins now.
-    pub fn new(local: u16, remote: u16, peer: SocketAddr, first_gap: Span, now: Time) -> Self {
-        let (unacked, took) = (VecDeque::new(), None);
-        let (heard, began, stamp) = (now, now, None);
-        Self { local, remote, peer, heard, began, stamp, oseq: 0, iseq: 0, unacked, first_gap, took }
+    /// Creates a leg that starts at `now`.
+    pub fn new(local: u16, remote: u16, peer: SocketAddr, first_interval: Span, now: Time) -> Self {
+        let (unacked, round_trip) = (VecDeque::new(), None);
+        let (last_received, started, last_timestamp) = (now, now, None);
+        Self {
+            local,
+            remote,
+            peer,
+            last_received,
+            started,
+            last_timestamp,
+            oseq: 0,
+            iseq: 0,
+            unacked,
+            first_interval,
+            round_trip,
+        }
     }
 
-    /// What was measured of the round trip since this was asked last.
-    pub fn took(&mut self) -> Option<Span> {
-        self.took.take()
+    /// Returns the round trip measured since the last call, if any.
+    pub fn take_round_trip(&mut self) -> Option<Span> {
+        self.round_trip.take()
     }
 
-    /// Sends a frame that is sent again until acknowledged.
+    /// Sends a frame, which is retransmitted until acknowledged.
     pub fn send(&mut self, kind: Kind, elements: Elements, now: Time, out: &mut Vec<Vec<u8>>) {
-        // It wraps after 49.7 days (RFC 5456, 8.1.1).
-        let passed = (now.since(self.began).0 / 1000) as u32;
-        // No two frames of a leg bear the same time: acknowledgements name frames by it.
-        let later = |last: u32| passed.wrapping_sub(last) as i32 > 0;
-        let stamp = self.stamp.map_or(passed, |last| if later(last) { passed } else { last.wrapping_add(1) });
-        self.stamp = Some(stamp);
-        self.send_at(stamp, kind, elements, now, out);
+        // The timestamp wraps after 49.7 days (RFC 5456, 8.1.1).
+        let elapsed = (now.since(self.started).0 / 1000) as u32;
+        // No two frames of a leg have the same timestamp, because acknowledgements identify frames by it.
+        let is_later = |last: u32| elapsed.wrapping_sub(last) as i32 > 0;
+        let timestamp =
+            self.last_timestamp
+                .map_or(elapsed, |last| if is_later(last) { elapsed } else { last.wrapping_add(1) });
+        self.last_timestamp = Some(timestamp);
+        self.send_at(timestamp, kind, elements, now, out);
     }
 
-    /// Sends a frame that bears a time of the other side's: an echo.
+    /// Sends a frame with a given timestamp: PONG and LAGRP repeat the peer's.
     fn send_at(&mut self, timestamp: u32, kind: Kind, elements: Elements, now: Time, out: &mut Vec<Vec<u8>>) {
         let frame = self.frame(timestamp, kind, elements);
         out.push(frame.bytes());
         self.oseq = self.oseq.wrapping_add(1);
-        if self.unacked.len() < MOST_UNACKED {
-            self.unacked.push_back(Sent::new(frame, self.first_gap, now));
+        if self.unacked.len() < MAX_UNACKED {
+            self.unacked.push_back(Unacked::new(frame, self.first_interval, now));
         }
     }
 
@@ -101,14 +124,15 @@
         Frame { source, dest, retransmitted: false, timestamp, oseq, iseq, kind, elements, data: Vec::new() }
     }
 
-    /// Sends what takes no sequence number.
-    fn say(&self, iax: Iax, timestamp: u32, out: &mut Vec<Vec<u8>>) {
+    /// Sends a frame that takes no sequence number and is not retransmitted.
+    fn send_unsequenced(&self, iax: Iax, timestamp: u32, out: &mut Vec<Vec<u8>>) {
         out.push(self.frame(timestamp, Kind::Iax(iax), Elements::default()).bytes());
     }
 
-    /// Takes a frame: books what it acknowledges, answers what concerns the exchange itself.
+    /// Handles a received frame: drops the sent frames that it acknowledges, acknowledges it, and answers VNAK, PING and
+    /// LAGRQ.
     pub fn receive(&mut self, frame: &Frame, now: Time, out: &mut Vec<Vec<u8>>) -> FrameOutcome {
-        self.heard = now;
+        self.last_received = now;
         if self.remote == 0 {
             self.remote = frame.source;
         }
@@ -117,19 +141,19 @@
             Kind::Iax(Iax::Ack) => return FrameOutcome::Consumed,
             Kind::Iax(Iax::Inval) => return FrameOutcome::UnknownCall,
             Kind::Iax(Iax::Vnak) => {
-                self.resend(now, out);
+                self.retransmit_all(now, out);
                 return FrameOutcome::Consumed;
             }
             _ => {}
         }
         let ahead = frame.oseq.wrapping_sub(self.iseq) as i8;
         if ahead > 0 {
-            self.say(Iax::Vnak, frame.timestamp, out);
+            self.send_unsequenced(Iax::Vnak, frame.timestamp, out);
             return FrameOutcome::Consumed;
         }
         if ahead < 0 {
-            // A retransmission: our acknowledgement was lost. It is no new event.
-            self.say(Iax::Ack, frame.timestamp, out);
+            // A retransmission, because our acknowledgement was lost: acknowledged again and not delivered.
+            self.send_unsequenced(Iax::Ack, frame.timestamp, out);
             return FrameOutcome::Consumed;
         }
         self.iseq = self.iseq.wrapping_add(1);
@@ -137,11 +161,11 @@
             Kind::Iax(Iax::Ping) => self.echo(Iax::Pong, frame, now, out),
             Kind::Iax(Iax::LagRq) => self.echo(Iax::LagRp, frame, now, out),
             Kind::Iax(Iax::Pong | Iax::LagRp) => {
-                self.say(Iax::Ack, frame.timestamp, out);
+                self.send_unsequenced(Iax::Ack, frame.timestamp, out);
                 FrameOutcome::Consumed
             }
             _ => {
-                self.say(Iax::Ack, frame.timestamp, out);
+                self.send_unsequenced(Iax::Ack, frame.timestamp, out);
                 FrameOutcome::Deliver
             }
         }
@@ -152,7 +176,8 @@
         FrameOutcome::Consumed
     }
 
-    /// All frames ahead of `iseq` have arrived. One that we never sent acknowledges nothing.
+    /// Drops the unacknowledged frames before `iseq`, which the peer has received. An `iseq` beyond the last frame sent
+    /// is ignored.
     fn acknowledged(&mut self, iseq: u8, now: Time) {
         if (self.oseq.wrapping_sub(iseq) as i8) < 0 {
             return;
@@ -161,66 +186,71 @@
             if (iseq.wrapping_sub(sent.frame.oseq) as i8) <= 0 {
                 break;
             }
-            // Of one that was sent again nobody knows which copy was heard (RFC 6298, 3: Karn's rule).
+            // The acknowledgement of a retransmitted frame does not tell which copy it is for (Karn's rule, RFC 6298, 3).
             if !sent.frame.retransmitted {
-                self.took = Some(now.since(sent.first));
+                self.round_trip = Some(now.since(sent.first_sent));
             }
             self.unacked.pop_front();
         }
     }
 
-    fn resend(&mut self, now: Time, out: &mut Vec<Vec<u8>>) {
+    fn retransmit_all(&mut self, now: Time, out: &mut Vec<Vec<u8>>) {
         let (iseq, dest) = (self.iseq, self.remote);
         for sent in &mut self.unacked {
             (sent.frame.retransmitted, sent.frame.iseq, sent.frame.dest) = (true, iseq, dest);
-            sent.next = now.plus(sent.gap);
+            sent.next_send = now.plus(sent.interval);
             out.push(sent.frame.bytes());
         }
     }
 
-    /// Sends again what is overdue. `false`: the other side is silent.
+    /// Retransmits overdue frames. Returns `false` if the peer is silent.
     pub fn run_timers(&mut self, now: Time, out: &mut Vec<Vec<u8>>) -> bool {
         let (iseq, dest) = (self.iseq, self.remote);
         for sent in &mut self.unacked {
-            if now.since(sent.first) >= SILENT_AFTER {
+            if now.since(sent.first_sent) >= SILENCE_TIMEOUT {
                 return false;
             }
-            if sent.next <= now {
+            if sent.next_send <= now {
                 (sent.frame.retransmitted, sent.frame.iseq, sent.frame.dest) = (true, iseq, dest);
-                sent.copies += 1;
-                sent.gap = next_gap(sent.first_gap, sent.gap);
-                let silent_at = sent.first.plus(SILENT_AFTER);
-                sent.next = if sent.copies < COPIES { now.plus(sent.gap).min(silent_at) } else { silent_at };
+                sent.retransmissions += 1;
+                sent.interval = next_interval(sent.first_interval, sent.interval);
+                let silent_at = sent.first_sent.plus(SILENCE_TIMEOUT);
+                sent.next_send = if sent.retransmissions < MAX_RETRANSMISSIONS {
+                    now.plus(sent.interval).min(silent_at)
+                } else {
+                    silent_at
+                };
                 out.push(sent.frame.bytes());
             }
         }
         true
     }
 
-    /// The other side wants a call token with the first frame, which it has not taken yet: that is sent anew with it, and again
-    /// until acknowledged.
-    pub fn show(&mut self, token: &[u8], now: Time, out: &mut Vec<Vec<u8>>) {
-        let begins =
-            |sent: &&mut Sent| matches!(sent.frame.kind, Kind::Iax(Iax::New | Iax::RegReq | Iax::RegRel));
-        let Some(sent) = self.unacked.front_mut().filter(begins) else { return };
+    /// Sends the first frame anew with a call token. The peer asked for the token and has not accepted the frame yet, so
+    /// this counts as a first transmission, and retransmission starts over.
+    pub fn resend_with_token(&mut self, token: &[u8], now: Time, out: &mut Vec<Vec<u8>>) {
+        let is_initial =
+            |sent: &&mut Unacked| matches!(sent.frame.kind, Kind::Iax(Iax::New | Iax::RegReq | Iax::RegRel));
+        let Some(sent) = self.unacked.front_mut().filter(is_initial) else { return };
         sent.frame.elements.0.retain(|(element, _)| *element != ie::CALLTOKEN);
         sent.frame.elements.0.push((ie::CALLTOKEN, token.to_vec()));
         sent.frame.retransmitted = false;
-        (sent.first, sent.next, sent.gap, sent.copies) = (now, now.plus(sent.first_gap), sent.first_gap, 0);
+        (sent.first_sent, sent.next_send, sent.interval, sent.retransmissions) =
+            (now, now.plus(sent.first_interval), sent.first_interval, 0);
         out.push(sent.frame.bytes());
     }
 
-    /// When `due` has something to do.
+    /// When [`Leg::run_timers`] is next due.
     pub fn next_deadline(&self) -> Option<Time> {
-        self.unacked.iter().map(|sent| sent.next).min()
+        self.unacked.iter().map(|sent| sent.next_send).min()
     }
 
-    /// Whether all that was sent has been acknowledged.
+    /// Whether every frame sent has been acknowledged or given up.
     pub fn all_acked(&self) -> bool {
         self.unacked.is_empty()
     }
 
-    /// Sends nothing again of what was sent so far.
+    /// Stops retransmission of all frames sent so far.
     pub fn cancel_retransmissions(&mut self) {
         self.unacked.clear();
     }
