--- a/src/iax2/auth.rs
+++ b/src/iax2/auth.rs
@@ -1,5 +1,6 @@
-//! Authentication (RFC 5456, 6.2.3 and 8.6.13 to 8.6.15): who may call here, and who we are where we call. MD5 challenge;
-//! plain text only where the operator allows it. No socket, no clock and no file here.
+//! Authentication (RFC 5456, 6.2.3 and 8.6.13 to 8.6.15): of users who call or register here, and of this controller
+//! where it calls or registers elsewhere. By MD5 challenge; by plain text only where the operator allows it. This
+//! module opens no socket or file and reads no clock.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,19 +16,19 @@
 use crate::interface::{Span, Time};
 
 /// AUTHMETHODS: plain text.
-const PLAIN: u32 = 1;
+const METHOD_PLAIN: u32 = 1;
 /// AUTHMETHODS: MD5.
-const MD5: u32 = 2;
-/// Failures of one network, or of one user, before more are turned away unlooked at.
-const BURST: f64 = 5.0;
-/// One more failure is allowed after this.
-const FORGIVEN_AFTER: Span = Span::from_millis(12_000);
-/// Networks and users whose failures are kept.
-const MOST: usize = 4_096;
-/// A network from which a user was right so lately is not shut out by others' failures in his name.
-const TRUSTED_FOR: Span = Span::from_millis(3_600_000);
-
-/// A secret. It goes to no log.
+const METHOD_MD5: u32 = 2;
+/// Failures of one network or one user from which on every attempt is rejected, even with the right secret.
+const FAILURE_LIMIT: f64 = 5.0;
+/// The time in which a count of failures falls by one.
+const FAILURE_DECAY: Span = Span::from_millis(12_000);
+/// The most entries in the table of failures, and in that of last successes.
+const MAX_TRACKED: usize = 4_096;
+/// A network from which a user authenticated within this time is not blocked by failures of the same user elsewhere.
+const TRUST_PERIOD: Span = Span::from_millis(3_600_000);
+
+/// A secret. Its `Debug` output does not show it, so that it gets into no log.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 pub struct Secret(String);
 
@@ -37,15 +38,15 @@
     }
 }
 
-/// Who may call.
+/// A user who may call here.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct User {
     secret: Secret,
-    /// Whether the secret may be sent as it is.
+    /// Whether the user may send the secret in plain text.
     #[serde(default)]
     plain: bool,
-    /// He is a call server: while he is registered, calls go to him.
+    /// Set for a user who is a call server: calls are sent to it while it is registered.
     #[serde(default)]
     server: Option<ServerUser>,
 }
@@ -54,14 +55,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerUser {
-    /// Its number as a destination.
+    /// Its cell, the destination number of calls.
     pub cell: u16,
-    /// Its zone, as the settings name it.
+    /// The name of its zone in the settings.
     #[serde(default)]
     pub zone: String,
 }
 
-/// All who may call, by name.
+/// All users who may call here, by name.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Users {
@@ -70,80 +71,82 @@
 }
 
 impl Users {
-    /// Reads a file's text; an error names the key and never a secret.
+    /// Parses the text of a users file. An error names the key, never a secret.
     pub fn parse(text: &str) -> Result<Users, String> {
-        let users: Users = read(text)?;
+        let users: Users = parse_toml(text)?;
         if users.by_name.is_empty() {
             return Err("at key 'user': no user is listed".to_owned());
         }
         if let Some((name, _)) = users.by_name.iter().find(|(_, user)| user.secret.0.is_empty()) {
-            return Err(format!("at key 'user.{name}.secret': it is empty"));
+            return Err(format!("at key 'user.{name}.secret': the secret is empty"));
         }
         Ok(users)
     }
 
-    /// Whether any of them is a call server.
+    /// Whether any user is a call server.
     pub fn any_server(&self) -> bool {
         self.by_name.values().any(|user| user.server.is_some())
     }
 }
 
-/// Who we are where we call.
+/// The account of this controller at the call servers and registrars that ask for authentication.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Our name there.
+    /// The user name.
     pub username: String,
     secret: Secret,
-    /// Whether we send the secret as it is to who asks for that.
+    /// Whether the secret is sent in plain text to a peer that asks for it.
     #[serde(default)]
     plain: bool,
 }
 
 impl Account {
-    /// Reads a file's text; an error names the key and never a secret.
+    /// Parses the text of an account file. An error names the key, never a secret.
     pub fn parse(text: &str) -> Result<Account, String> {
-        let account: Account = read(text)?;
+        let account: Account = parse_toml(text)?;
         if account.username.is_empty() || account.secret.0.is_empty() {
             return Err("at keys 'username' and 'secret': neither may be empty".to_owned());
         }
         Ok(account)
     }
 
-    /// What an AUTHREP says to an AUTHREQ; none where it asks for what we do not do.
-    pub fn respond(&self, asked: &Elements) -> Option<Elements> {
-        let methods = asked.number(ie::AUTHMETHODS)?;
-        if let Some(challenge) = asked.get(ie::CHALLENGE).filter(|_| methods & MD5 != 0) {
+    /// The elements of the reply to an AUTHREQ or REGAUTH; `None` if it offers no method that is supported and
+    /// allowed.
+    pub fn respond(&self, request: &Elements) -> Option<Elements> {
+        let methods = request.number(ie::AUTHMETHODS)?;
+        if let Some(challenge) = request.get(ie::CHALLENGE).filter(|_| methods & METHOD_MD5 != 0) {
             return Some(
                 Elements::default().with(ie::MD5_RESULT, md5_result(challenge, &self.secret).as_bytes()),
             );
         }
-        let plain = methods & PLAIN != 0 && self.plain;
+        let plain = methods & METHOD_PLAIN != 0 && self.plain;
         plain.then(|| Elements::default().with(ie::PASSWORD, self.secret.0.as_bytes()))
     }
 }
 
-/// The parser's own messages quote the line they stop at, and the line may hold a secret: only place and key are told.
-fn read<T: for<'de> Deserialize<'de>>(text: &str) -> Result<T, String> {
+/// Parses TOML. The parser's own messages quote the line with the error, which may hold a secret: the error returned
+/// here names only the line or the key.
+fn parse_toml<T: for<'de> Deserialize<'de>>(text: &str) -> Result<T, String> {
     let table: toml::Table = text.parse().map_err(|error: toml::de::Error| {
         let before = error.span().and_then(|span| text.get(..span.start)).unwrap_or_default();
-        format!("line {} cannot be read", before.lines().count().max(1))
+        format!("line {} is not valid TOML", before.lines().count().max(1))
     })?;
     serde_path_to_error::deserialize(table).map_err(|error| {
         let key = error.path().to_string();
         let message = error.into_inner().message().to_owned();
-        let why = if message.starts_with("invalid") { "not of the kind that belongs here" } else { &message };
+        let why = if message.starts_with("invalid") { "wrong type or value" } else { &message };
         format!("at key '{key}': {why}")
     })
 }
 
-/// MD5 of challenge and secret, as hex (8.6.15).
+/// The MD5 of challenge and secret, in hexadecimal (8.6.15).
 fn md5_result(challenge: &[u8], secret: &Secret) -> String {
     let digest = Md5::new_with_prefix(challenge).chain_update(&secret.0).finalize();
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// What a caller was asked, until he answers.
+/// A challenge sent to a caller, kept until the answer arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IssuedChallenge {
     user: String,
@@ -151,88 +154,92 @@
 }
 
 impl IssuedChallenge {
-    /// The name that he gave.
+    /// The user name that the caller gave.
     pub fn user(&self) -> &str {
         &self.user
     }
 }
 
-/// Why a caller is not let in. He is told no more than that he is not.
+/// Why authentication failed. The caller is told only that it did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AuthError {
     /// The secret is wrong, or there is no such user.
-    #[error("an unknown user or a wrong secret")]
+    #[error("unknown user or wrong secret")]
     WrongCredentials,
-    /// Too many failures.
-    #[error("too many failures of this user or from this network")]
+    /// Too many failures of this user or from this network.
+    #[error("too many authentication failures of this user or from this network")]
     TooManyFailures,
 }
 
-/// Failures by whom: each is forgiven after a while.
+/// Counts of failures by network and by user. Each count decreases with time.
 #[derive(Debug, Default)]
 struct Failures(BTreeMap<String, (f64, Time)>);
 
 impl Failures {
-    fn now(&self, of: &str, now: Time) -> f64 {
+    fn count(&self, key: &str, now: Time) -> f64 {
         self.0
-            .get(of)
-            .map_or(0.0, |(count, at)| (count - now.since(*at).0 as f64 / FORGIVEN_AFTER.0 as f64).max(0.0))
+            .get(key)
+            .map_or(0.0, |(count, at)| (count - now.since(*at).0 as f64 / FAILURE_DECAY.0 as f64).max(0.0))
     }
-    fn add(&mut self, of: &str, now: Time) {
-        let count = self.now(of, now) + 1.0;
-        if self.0.len() >= MOST && !self.0.contains_key(of) {
-            // The one that has been quiet longest makes room.
-            let oldest = self.0.iter().min_by_key(|(_, (_, at))| *at).map(|(of, _)| of.clone());
-            oldest.map(|of| self.0.remove(&of));
+    fn add(&mut self, key: &str, now: Time) {
+        let count = self.count(key, now) + 1.0;
+        if self.0.len() >= MAX_TRACKED && !self.0.contains_key(key) {
+            // Evicts the entry with the oldest last failure.
+            let oldest = self.0.iter().min_by_key(|(_, (_, at))| *at).map(|(key, _)| key.clone());
+            oldest.map(|key| self.0.remove(&key));
         }
-        self.0.insert(of.to_owned(), (count, now));
+        self.0.insert(key.to_owned(), (count, now));
     }
 }
 
-/// Asks callers who they are, and knows whether they are.
+/// Challenges callers and verifies their answers.
 #[derive(Debug)]
 pub struct Authenticator {
     users: Users,
-    /// Nobody's: an unknown user is compared with it, so that he hears the same after the same time.
-    nobody: User,
+    /// Stands in for an unknown user, so that the challenge and the time to verify are those of a known one without
+    /// `plain`.
+    placeholder: User,
     key: [u8; 32],
-    asked: u64,
+    challenges_issued: u64,
     failures: Failures,
-    right: BTreeMap<(String, std::net::IpAddr), Time>,
+    /// The last success of a user from a network.
+    last_success: BTreeMap<(String, std::net::IpAddr), Time>,
 }
 
 impl Authenticator {
-    /// One who knows these users; `key` is known to nobody else.
+    /// Creates an authenticator for these users. Challenges are derived from `key`, which must be secret.
     pub fn new(users: Users, key: [u8; 32]) -> Authenticator {
         let secret = Secret(key.iter().map(|byte| format!("{byte:02x}")).collect());
-        let nobody = User { secret, plain: false, server: None };
-        let (failures, right) = (Failures::default(), BTreeMap::new());
-        Authenticator { users, nobody, key, asked: 0, failures, right }
+        let placeholder = User { secret, plain: false, server: None };
+        let (failures, last_success) = (Failures::default(), BTreeMap::new());
+        Authenticator { users, placeholder, key, challenges_issued: 0, failures, last_success }
     }
 
-    /// From now on these users; failures stay.
+    /// Replaces the users. The counts of failures stay.
     pub fn reconfigure(&mut self, users: Users) {
         self.users = users;
     }
 
-    /// Whether there is such a user.
+    /// Whether the user exists.
     pub fn has_user(&self, user: &str) -> bool {
         self.users.by_name.contains_key(user)
     }
 
-    /// The call server that a user is, if he is one.
+    /// The settings of a user who is a call server; `None` for any other.
     pub fn server(&self, user: &str) -> Option<&ServerUser> {
         self.users.by_name.get(user)?.server.as_ref()
     }
 
-    /// What an AUTHREQ says to a caller who gives this name. It is the same for users that there are and are not.
+    /// The elements of an AUTHREQ or REGAUTH to a caller who gives this user name, and the challenge to verify the
+    /// answer with. An unknown user is challenged like a known one without `plain`.
     pub fn challenge(&mut self, user: &str) -> (Elements, IssuedChallenge) {
-        self.asked += 1;
-        let mac = Hmac::<Sha256>::new_from_slice(&self.key).unwrap_or_else(|_| unreachable!("any length"));
-        let mac = mac.chain_update(self.asked.to_be_bytes()).finalize().into_bytes();
+        self.challenges_issued += 1;
+        let mac = Hmac::<Sha256>::new_from_slice(&self.key)
+            .unwrap_or_else(|_| unreachable!("HMAC takes a key of any length"));
+        let mac = mac.chain_update(self.challenges_issued.to_be_bytes()).finalize().into_bytes();
         let challenge: String = mac[..8].iter().map(|byte| format!("{byte:02x}")).collect();
-        let known = self.users.by_name.get(user).unwrap_or(&self.nobody);
-        let methods = if known.plain { MD5 | PLAIN } else { MD5 };
+        let known = self.users.by_name.get(user).unwrap_or(&self.placeholder);
+        let methods = if known.plain { METHOD_MD5 | METHOD_PLAIN } else { METHOD_MD5 };
         let elements = Elements::default()
             .with(ie::AUTHMETHODS, &(methods as u16).to_be_bytes())
             .with(ie::CHALLENGE, challenge.as_bytes())
@@ -240,47 +247,47 @@
         (elements, IssuedChallenge { user: user.to_owned(), challenge })
     }
 
-    /// Whether an AUTHREP is right.
+    /// Verifies the answer to a challenge, and counts a failure.
     pub fn verify(
         &mut self,
         from: std::net::IpAddr,
-        asked: &IssuedChallenge,
+        issued: &IssuedChallenge,
         answer: &Elements,
         now: Time,
     ) -> Result<(), AuthError> {
         let network = network_of(from);
-        let (by_network, by_user) = (format!("net {network}"), format!("user {}", asked.user));
-        let place = (asked.user.clone(), network);
-        let trusted = self.right.get(&place).is_some_and(|at| now.since(*at) < TRUSTED_FOR);
-        let shut = self.failures.now(&by_network, now) >= BURST
-            || (!trusted && self.failures.now(&by_user, now) >= BURST);
-        // Looked at in any case, so that being shut out takes the same time.
-        let right = self.is_right(asked, answer);
-        if shut {
+        let (by_network, by_user) = (format!("net {network}"), format!("user {}", issued.user));
+        let origin = (issued.user.clone(), network);
+        let trusted = self.last_success.get(&origin).is_some_and(|at| now.since(*at) < TRUST_PERIOD);
+        let blocked = self.failures.count(&by_network, now) >= FAILURE_LIMIT
+            || (!trusted && self.failures.count(&by_user, now) >= FAILURE_LIMIT);
+        // Verified in any case, so that the time taken does not show whether the caller is blocked.
+        let valid = self.is_valid(issued, answer);
+        if blocked {
             return Err(AuthError::TooManyFailures);
         }
-        if !right {
+        if !valid {
             self.failures.add(&by_network, now);
             self.failures.add(&by_user, now);
             return Err(AuthError::WrongCredentials);
         }
-        if self.right.len() >= MOST {
-            self.right.retain(|_, at| now.since(*at) < TRUSTED_FOR);
+        if self.last_success.len() >= MAX_TRACKED {
+            self.last_success.retain(|_, at| now.since(*at) < TRUST_PERIOD);
         }
-        if self.right.len() < MOST {
-            self.right.insert(place, now);
+        if self.last_success.len() < MAX_TRACKED {
+            self.last_success.insert(origin, now);
         }
         Ok(())
     }
 
-    fn is_right(&self, asked: &IssuedChallenge, answer: &Elements) -> bool {
-        let known = self.users.by_name.get(&asked.user);
-        let user = known.unwrap_or(&self.nobody);
-        let expected = md5_result(asked.challenge.as_bytes(), &user.secret);
-        let said = answer.get(ie::MD5_RESULT).unwrap_or_default().to_ascii_lowercase();
-        let by_md5 = bool::from(expected.as_bytes().ct_eq(&said));
-        let said = answer.get(ie::PASSWORD).unwrap_or_default();
-        let by_plain = bool::from(user.secret.0.as_bytes().ct_eq(said));
+    fn is_valid(&self, issued: &IssuedChallenge, answer: &Elements) -> bool {
+        let known = self.users.by_name.get(&issued.user);
+        let user = known.unwrap_or(&self.placeholder);
+        let expected = md5_result(issued.challenge.as_bytes(), &user.secret);
+        let received = answer.get(ie::MD5_RESULT).unwrap_or_default().to_ascii_lowercase();
+        let by_md5 = bool::from(expected.as_bytes().ct_eq(&received));
+        let received = answer.get(ie::PASSWORD).unwrap_or_default();
+        let by_plain = bool::from(user.secret.0.as_bytes().ct_eq(received));
         known.is_some() && (by_md5 || (user.plain && by_plain))
     }
 }
@@ -293,97 +300,117 @@
     const USERS: &str = "[user.desk]\nsecret = 'wort'\n[user.old]\nsecret = 'geheim'\nplain = true\n";
 
     fn account(name: &str, secret: &str, plain: bool) -> Account {
-        Account::parse(&format!("username = '{name}'\nsecret = '{secret}'\nplain = {plain}")).expect("good")
+        Account::parse(&format!("username = '{name}'\nsecret = '{secret}'\nplain = {plain}"))
+            .expect("valid TOML")
     }
 
-    fn tries(
-        examiner: &mut Authenticator,
+    fn authenticate(
+        authenticator: &mut Authenticator,
         from: &str,
         account: &Account,
         now: Time,
     ) -> Result<(), AuthError> {
         let from: IpAddr = from.parse().expect("an address");
-        let (elements, asked) = examiner.challenge(&account.username);
+        let (elements, issued) = authenticator.challenge(&account.username);
         let answer = account.respond(&elements).unwrap_or_default();
-        examiner.verify(from, &asked, &answer, now)
+        authenticator.verify(from, &issued, &answer, now)
     }
 
-    fn examiner() -> Authenticator {
-        Authenticator::new(Users::parse(USERS).expect("good"), [3; 32])
+    fn authenticator() -> Authenticator {
+        Authenticator::new(Users::parse(USERS).expect("valid TOML"), [3; 32])
     }
 
-    /// RFC 1321's digest over challenge and secret, by hand: MD5("12345678wort").
+    /// Checked with the MD5 of "abc" from RFC 1321, split differently between challenge and secret.
     #[test]
-    fn the_result_is_md5_of_challenge_and_secret() {
+    fn md5_result_is_the_md5_of_challenge_and_secret() {
         assert_eq!(md5_result(b"", &Secret("abc".into())), "900150983cd24fb0d6963f7d28e17f72");
         assert_eq!(md5_result(b"a", &Secret("bc".into())), "900150983cd24fb0d6963f7d28e17f72");
     }
 
     #[test]
-    fn who_knows_the_secret_is_let_in_and_plain_text_only_where_it_is_allowed() {
-        let (mut examiner, now) = (examiner(), Time(1_000_000));
-        assert_eq!(tries(&mut examiner, "10.0.0.1", &account("desk", "wort", false), now), Ok(()));
+    fn the_right_secret_is_accepted_and_plain_text_only_where_allowed() {
+        let (mut authenticator, now) = (authenticator(), Time(1_000_000));
+        assert_eq!(
+            authenticate(&mut authenticator, "10.0.0.1", &account("desk", "wort", false), now),
+            Ok(())
+        );
         let wrong = Err(AuthError::WrongCredentials);
-        assert_eq!(tries(&mut examiner, "10.0.0.1", &account("desk", "Wort", false), now), wrong);
-        assert_eq!(tries(&mut examiner, "10.0.1.1", &account("nobody", "wort", false), now), wrong);
+        assert_eq!(authenticate(&mut authenticator, "10.0.0.1", &account("desk", "Wort", false), now), wrong);
+        assert_eq!(
+            authenticate(&mut authenticator, "10.0.1.1", &account("nobody", "wort", false), now),
+            wrong
+        );
         for (name, secret, right) in [("old", "geheim", true), ("desk", "wort", false)] {
-            let (_, asked) = examiner.challenge(name);
+            let (_, issued) = authenticator.challenge(name);
             let plain = Elements::default().with(ie::PASSWORD, secret.as_bytes());
             let from = "10.0.2.1".parse().expect("an address");
-            assert_eq!(examiner.verify(from, &asked, &plain, now).is_ok(), right, "{name}");
+            assert_eq!(authenticator.verify(from, &issued, &plain, now).is_ok(), right, "{name}");
         }
-        // IssuedChallenge for plain text alone, only who was told to sends it.
+        // Asked for plain text only, an account answers only if that is allowed.
         let plain_only = Elements::default().with(ie::AUTHMETHODS, &[0, 1]);
         assert_eq!(account("a", "b", false).respond(&plain_only), None);
         assert!(account("a", "b", true).respond(&plain_only).is_some());
     }
 
     #[test]
-    fn an_unknown_user_is_asked_the_same_and_challenges_never_come_twice() {
-        let mut examiner = examiner();
-        let ((known, first), (unknown, second)) = (examiner.challenge("desk"), examiner.challenge("nobody"));
+    fn an_unknown_user_gets_the_same_kind_of_challenge_and_no_challenge_is_repeated() {
+        let mut authenticator = authenticator();
+        let ((known, first), (unknown, second)) =
+            (authenticator.challenge("desk"), authenticator.challenge("nobody"));
         let shape = |e: &Elements| e.0.iter().map(|(element, _)| *element).collect::<Vec<_>>();
         assert_eq!(shape(&known), shape(&unknown));
         assert_eq!(known.get(ie::AUTHMETHODS), unknown.get(ie::AUTHMETHODS));
         assert_ne!(first.challenge, second.challenge);
-        // An answer to another challenge is worth nothing.
+        // The answer to another challenge is rejected.
         let answer = account("desk", "wort", false).respond(&known).expect("an answer");
-        let (_, later) = examiner.challenge("desk");
+        let (_, later) = authenticator.challenge("desk");
         let from = "10.0.0.1".parse().expect("an address");
-        assert_eq!(examiner.verify(from, &later, &answer, Time(1)), Err(AuthError::WrongCredentials));
+        assert_eq!(authenticator.verify(from, &later, &answer, Time(1)), Err(AuthError::WrongCredentials));
     }
 
     #[test]
-    fn failures_are_limited_by_network_and_user_and_forgiven_and_shut_out_nobody_who_was_right() {
-        let (mut examiner, now) = (examiner(), Time(1_000_000));
+    fn failures_are_limited_by_network_and_user_and_decay_and_do_not_block_a_trusted_network() {
+        let (mut authenticator, now) = (authenticator(), Time(1_000_000));
         let (right, wrong) = (account("desk", "wort", false), account("desk", "w", false));
-        assert_eq!(tries(&mut examiner, "10.0.0.1", &right, now), Ok(()));
+        assert_eq!(authenticate(&mut authenticator, "10.0.0.1", &right, now), Ok(()));
         for n in 0..5 {
             let from = format!("10.1.{n}.1");
-            assert_eq!(tries(&mut examiner, &from, &wrong, now), Err(AuthError::WrongCredentials));
+            assert_eq!(
+                authenticate(&mut authenticator, &from, &wrong, now),
+                Err(AuthError::WrongCredentials)
+            );
         }
-        // Guessing at one user from many networks ends, but not for the network that he uses.
-        assert_eq!(tries(&mut examiner, "10.1.9.1", &right, now), Err(AuthError::TooManyFailures));
-        assert_eq!(tries(&mut examiner, "10.0.0.7", &right, now), Ok(()));
+        // Guesses at one user from many networks block the user, except from the network of the last success.
+        assert_eq!(
+            authenticate(&mut authenticator, "10.1.9.1", &right, now),
+            Err(AuthError::TooManyFailures)
+        );
+        assert_eq!(authenticate(&mut authenticator, "10.0.0.7", &right, now), Ok(()));
         for n in 0..5 {
             let unknown = account(&format!("u{n}"), "x", false);
-            assert_eq!(tries(&mut examiner, "10.2.0.1", &unknown, now), Err(AuthError::WrongCredentials));
+            assert_eq!(
+                authenticate(&mut authenticator, "10.2.0.1", &unknown, now),
+                Err(AuthError::WrongCredentials)
+            );
         }
-        // One network that guesses at many users is shut out whatever it says.
+        // A network that guesses at many users is blocked, even with a right secret.
         assert_eq!(
-            tries(&mut examiner, "10.2.0.9", &account("old", "geheim", false), now),
+            authenticate(&mut authenticator, "10.2.0.9", &account("old", "geheim", false), now),
             Err(AuthError::TooManyFailures)
         );
         let later = now.plus(Span::from_millis(13_000));
-        assert_eq!(tries(&mut examiner, "10.2.0.9", &account("old", "geheim", false), later), Ok(()));
+        assert_eq!(
+            authenticate(&mut authenticator, "10.2.0.9", &account("old", "geheim", false), later),
+            Ok(())
+        );
         for n in 0..10_000_u32 {
-            examiner.failures.add(&n.to_string(), now);
+            authenticator.failures.add(&n.to_string(), now);
         }
-        assert!(examiner.failures.0.len() <= MOST);
+        assert!(authenticator.failures.0.len() <= MAX_TRACKED);
     }
 
     #[test]
-    fn a_bad_file_is_told_by_key_or_line_and_never_by_its_secret() {
+    fn errors_in_a_file_name_the_key_or_line_and_never_a_secret() {
         for (text, key) in [
             ("[user.a]\nsecret = 'hidden'\nplain = 'hidden'\n", "'user.a.plain'"),
             ("[user.a]\nsecrte = 'hidden'\n", "user.a"),
@@ -391,10 +418,10 @@
             ("[user.a]\nsecret = ''\n", "'user.a.secret'"),
             ("", "'user'"),
         ] {
-            let why = Users::parse(text).expect_err("a bad file");
+            let why = Users::parse(text).expect_err("an invalid file");
             assert!(why.contains(key) && !why.contains("hidden") && !why.contains('\n'), "{why}");
         }
         let account = account("a", "hidden", false);
-        assert!(!format!("{account:?} {:?}", examiner()).contains("hidden"));
+        assert!(!format!("{account:?} {:?}", authenticator()).contains("hidden"));
     }
 }
--- a/src/iax2/describe.rs
+++ b/src/iax2/describe.rs
@@ -16,8 +16,8 @@
     format!("iax2 capability={capability:08x} format={format:08x}")
 }
 
-/// Adds a description to outgoing elements: as media formats if it was made from them by [`description_of`], else as the
-/// variable `desc`.
+/// Adds a description to outgoing elements: as media formats if it was made from them by [`description_of`], else as
+/// the variable `desc`.
 pub fn add_description(elements: Elements, body: &str) -> Elements {
     let formats = formats_of(body);
     let (capability, format) = formats.unwrap_or((ULAW, ULAW));
--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -581,8 +581,8 @@
     }
 }
 
-/// The full timestamp that has these low bits and is nearest to `last`, the last full timestamp seen. Frames may arrive out
-/// of order across the wrap. `bits`: 16 for mini frames, 15 for meta video frames.
+/// The full timestamp that has these low bits and is nearest to `last`, the last full timestamp seen. Frames may
+/// arrive out of order across the wrap. `bits`: 16 for mini frames, 15 for meta video frames.
 pub fn full_timestamp(last: u32, low: u16, bits: u32) -> u32 {
     let range = 1_u32 << bits;
     let ahead = u32::from(low).wrapping_sub(last) & (range - 1);
--- a/src/iax2/leg.rs
+++ b/src/iax2/leg.rs
@@ -129,8 +129,8 @@
         out.push(self.frame(timestamp, Kind::Iax(iax), Elements::default()).bytes());
     }
 
-    /// Handles a received frame: drops the sent frames that it acknowledges, acknowledges it, and answers VNAK, PING and
-    /// LAGRQ.
+    /// Handles a received frame: drops the sent frames that it acknowledges, acknowledges it, and answers VNAK, PING
+    /// and LAGRQ.
     pub fn receive(&mut self, frame: &Frame, now: Time, out: &mut Vec<Vec<u8>>) -> FrameOutcome {
         self.last_received = now;
         if self.remote == 0 {
@@ -176,8 +176,8 @@
         FrameOutcome::Consumed
     }
 
-    /// Drops the unacknowledged frames before `iseq`, which the peer has received. An `iseq` beyond the last frame sent
-    /// is ignored.
+    /// Drops the unacknowledged frames before `iseq`, which the peer has received. An `iseq` beyond the last frame
+    /// sent is ignored.
     fn acknowledged(&mut self, iseq: u8, now: Time) {
         if (self.oseq.wrapping_sub(iseq) as i8) < 0 {
             return;
@@ -186,7 +186,8 @@
             if (iseq.wrapping_sub(sent.frame.oseq) as i8) <= 0 {
                 break;
             }
-            // The acknowledgement of a retransmitted frame does not tell which copy it is for (Karn's rule, RFC 6298, 3).
+            // The acknowledgement of a retransmitted frame does not tell which copy it is for (Karn's rule, RFC 6298,
+            // 3).
             if !sent.frame.retransmitted {
                 self.round_trip = Some(now.since(sent.first_sent));
             }
@@ -226,8 +227,8 @@
         true
     }
 
-    /// Sends the first frame anew with a call token. The peer asked for the token and has not accepted the frame yet, so
-    /// this counts as a first transmission, and retransmission starts over.
+    /// Sends the first frame anew with a call token. The peer asked for the token and has not accepted the frame yet,
+    /// so this counts as a first transmission, and retransmission starts over.
     pub fn resend_with_token(&mut self, token: &[u8], now: Time, out: &mut Vec<Vec<u8>>) {
         let is_initial =
             |sent: &&mut Unacked| matches!(sent.frame.kind, Kind::Iax(Iax::New | Iax::RegReq | Iax::RegRel));
--- a/src/iax2/legs.rs
+++ b/src/iax2/legs.rs
@@ -1,5 +1,5 @@
-//! The legs at one UDP socket: allocation of call numbers, matching of frames to legs, and ended legs, whose numbers are
-//! not reused for a while.
+//! The legs at one UDP socket: allocation of call numbers, matching of frames to legs, and ended legs, whose numbers
+//! are not reused for a while.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -109,8 +109,8 @@
         Some(local)
     }
 
-    /// Opens the leg of a received NEW, REGREQ or REGREL and acknowledges that frame; `None` if a limit is reached or no
-    /// number is free.
+    /// Opens the leg of a received NEW, REGREQ or REGREL and acknowledges that frame; `None` if a limit is reached or
+    /// no number is free.
     pub fn open_incoming(
         &mut self,
         peer: SocketAddr,
@@ -157,7 +157,8 @@
         }
     }
 
-    /// Ends a leg. Its last frames are still retransmitted until acknowledged, and its number is not reused for a while.
+    /// Ends a leg. Its last frames are still retransmitted until acknowledged, and its number is not reused for a
+    /// while.
     pub fn end(&mut self, no: u16, now: Time) {
         if let Some(entry) = self.entries.get_mut(&no) {
             entry.owner = None;
@@ -278,8 +279,8 @@
         out.extend(bytes.into_iter().map(|b| (peer, b)));
     }
 
-    /// Sends the PINGs and retransmissions that are due on a leg, detects a silent peer, and removes an ended leg whose
-    /// number may be reused.
+    /// Sends the PINGs and retransmissions that are due on a leg, detects a silent peer, and removes an ended leg
+    /// whose number may be reused.
     pub fn run_timers(&mut self, no: u16, now: Time, out: &mut Vec<Outgoing>) -> Option<LegEvent<T>> {
         let entry = self.entries.get_mut(&no)?;
         let mut bytes = Vec::new();
@@ -353,8 +354,8 @@
         assert!(legs.all_acked());
     }
 
-    /// Guards against one caller that uses up all call numbers, and against a leak: an ended leg must leave no entry and no
-    /// count.
+    /// Guards against one caller that uses up all call numbers, and against a leak: an ended leg must leave no entry
+    /// and no count.
     #[test]
     fn legs_per_address_are_limited_and_ended_ones_are_removed_when_their_numbers_are_reusable() {
         let mut legs: Legs<u16> = Legs::default();
--- a/src/iax2/registrant.rs
+++ b/src/iax2/registrant.rs
@@ -1,5 +1,6 @@
-//! When we register elsewhere: anew before our time is over, and after a failure with growing gaps and jitter, so that
-//! many who lost the same registrar do not come back at once. No socket and no clock here.
+//! When this controller registers at another registrar: before the registration expires, and after a failure at
+//! growing intervals with jitter, so that many registrants that lost the same registrar do not return at once. This
+//! module opens no socket and reads no clock.
 
 use std::net::SocketAddr;
 
@@ -8,104 +9,105 @@
 
 use crate::interface::{Span, Time};
 
-/// The gap after the first failure; each further one is twice as long.
-const FIRST_GAP: Span = Span::from_millis(1_000);
-/// The longest gap.
-const LONGEST_GAP: Span = Span::from_millis(300_000);
-/// An answer must have come within this.
-const ANSWERS_WITHIN: Span = Span::from_millis(8_000);
-/// What is asked for, in seconds.
+/// The retry interval after the first failure. It doubles with each further failure.
+const FIRST_RETRY: Span = Span::from_millis(1_000);
+/// The longest retry interval.
+const MAX_RETRY: Span = Span::from_millis(300_000);
+/// A request without an answer within this time has failed.
+const ANSWER_TIMEOUT: Span = Span::from_millis(8_000);
+/// The registration time requested, in seconds.
 pub const REQUESTED_REFRESH_SECS: u16 = 60;
-/// Registered anew after a share of the granted time between these.
-const RENEWED: (f64, f64) = (0.5, 0.8);
+/// A registration is renewed after a random fraction of the granted time, between these two.
+const RENEWAL_FRACTION: (f64, f64) = (0.5, 0.8);
 
-/// How it stands with one registrar.
+/// The state of the registration at one registrar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// To be asked then.
-    Waits(Time),
-    /// Asked; no answer by then is a failure.
-    Asked(Time),
+    /// The next request is due at this time.
+    Waiting(Time),
+    /// A request was sent. No answer by this time is a failure.
+    Requested(Time),
 }
 
-/// Our registration at one registrar.
+/// This controller's registration at one registrar.
 #[derive(Debug, Clone)]
 pub struct Registrant {
-    /// Where the registrar is.
+    /// The address of the registrar.
     pub address: SocketAddr,
     state: State,
     failures: u32,
-    /// Until when we are registered.
-    until: Option<Time>,
+    /// When the current registration expires.
+    expires: Option<Time>,
     rng: Pcg64Mcg,
 }
 
-/// What falls due.
+/// What [`Registrant::run_timer`] requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegistrantAction {
-    /// Nothing yet.
+    /// Nothing is due yet.
     Wait,
-    /// Ask now.
+    /// A registration request is to be sent now.
     SendRequest,
-    /// What was asked is not answered: given up, and asked again later.
+    /// The request was not answered in time: it is given up, and another one follows later.
     GiveUp,
 }
 
 impl Registrant {
-    /// One that asks within a second of `now`. `seed`: where its jitter comes from.
+    /// Creates a registrant whose first request is due within a second of `now`. `seed` determines its jitter.
     pub fn new(address: SocketAddr, now: Time, seed: u64) -> Registrant {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let first = now.plus(FIRST_GAP.share(chance(&mut rng)));
-        Registrant { address, state: State::Waits(first), failures: 0, until: None, rng }
+        let first = now.plus(FIRST_RETRY.share(uniform(&mut rng)));
+        Registrant { address, state: State::Waiting(first), failures: 0, expires: None, rng }
     }
 
-    /// When `due` has something to say.
+    /// When [`Registrant::run_timer`] is next due.
     pub fn next_deadline(&self) -> Time {
         match self.state {
-            State::Waits(at) | State::Asked(at) => at,
+            State::Waiting(at) | State::Requested(at) => at,
         }
     }
 
-    /// What is due. After `Ask` an answer is waited for.
+    /// Returns what is due. After `SendRequest` the answer timeout runs.
     pub fn run_timer(&mut self, now: Time) -> RegistrantAction {
         match self.state {
-            State::Waits(at) if now >= at => {
-                self.state = State::Asked(now.plus(ANSWERS_WITHIN));
+            State::Waiting(at) if now >= at => {
+                self.state = State::Requested(now.plus(ANSWER_TIMEOUT));
                 RegistrantAction::SendRequest
             }
-            State::Asked(at) if now >= at => {
+            State::Requested(at) if now >= at => {
                 self.failed(now);
                 RegistrantAction::GiveUp
             }
-            State::Waits(_) | State::Asked(_) => RegistrantAction::Wait,
+            State::Waiting(_) | State::Requested(_) => RegistrantAction::Wait,
         }
     }
 
-    /// Registered for so many seconds.
+    /// The registrar has granted a registration for `secs` seconds.
     pub fn granted(&mut self, secs: u32, now: Time) {
         let granted = Span::from_millis(u64::from(secs.max(1)) * 1000);
-        let (least, most) = RENEWED;
-        let share = least + (most - least) * chance(&mut self.rng);
-        (self.failures, self.until) = (0, Some(now.plus(granted)));
-        self.state = State::Waits(now.plus(granted.share(share)));
+        let (min, max) = RENEWAL_FRACTION;
+        let fraction = min + (max - min) * uniform(&mut self.rng);
+        (self.failures, self.expires) = (0, Some(now.plus(granted)));
+        self.state = State::Waiting(now.plus(granted.share(fraction)));
     }
 
-    /// Refused, or not answered.
+    /// The registrar has refused the request or not answered it.
     pub fn failed(&mut self, now: Time) {
-        let gap = Span(FIRST_GAP.0 << self.failures.min(20)).min(LONGEST_GAP);
+        let interval = Span(FIRST_RETRY.0 << self.failures.min(20)).min(MAX_RETRY);
         self.failures += 1;
-        // Between a half and the whole of the gap: spread, and never at once.
-        let gap = gap.share(0.5 + 0.5 * chance(&mut self.rng));
-        self.state = State::Waits(now.plus(gap));
+        // A random part of the interval between half and all of it, so that retries are spread and none is immediate.
+        let interval = interval.share(0.5 + 0.5 * uniform(&mut self.rng));
+        self.state = State::Waiting(now.plus(interval));
     }
 
-    /// Whether we are registered there.
+    /// Whether the registration is valid at `now`.
     pub fn is_registered(&self, now: Time) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.expires.is_some_and(|expires| now < expires)
     }
 }
 
-fn chance(rng: &mut Pcg64Mcg) -> f64 {
+/// A random number from 0 up to but not including 1.
+fn uniform(rng: &mut Pcg64Mcg) -> f64 {
     f64::from(rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
 }
 
@@ -122,7 +124,7 @@
     }
 
     #[test]
-    fn it_renews_before_its_time_is_over() {
+    fn a_registration_is_renewed_before_it_expires() {
         for seed in 0..200 {
             let mut registrant = registrant(seed);
             let first = registrant.next_deadline();
@@ -141,31 +143,34 @@
     }
 
     #[test]
-    fn failures_make_the_gaps_grow_and_many_do_not_come_back_at_once() {
-        let mut firsts = Vec::new();
+    fn retry_intervals_grow_with_failures_and_are_spread_over_registrants() {
+        let mut sixth_intervals = Vec::new();
         for seed in 0..200 {
             let mut registrant = registrant(seed);
             let mut now = registrant.next_deadline();
             assert_eq!(registrant.run_timer(now), RegistrantAction::SendRequest);
             assert_eq!(registrant.run_timer(now), RegistrantAction::Wait);
-            let mut gaps = Vec::new();
+            let mut intervals = Vec::new();
             for _ in 0..14 {
                 now = registrant.next_deadline();
                 assert_eq!(registrant.run_timer(now), RegistrantAction::GiveUp);
-                gaps.push(registrant.next_deadline().since(now).secs());
+                intervals.push(registrant.next_deadline().since(now).secs());
                 now = registrant.next_deadline();
                 assert_eq!(registrant.run_timer(now), RegistrantAction::SendRequest);
             }
-            for (n, gap) in gaps.iter().enumerate() {
-                let whole = (1_u64 << n).min(300) as f64;
-                assert!((whole / 2.0..=whole).contains(gap), "seed {seed}, failure {n}: {gap}");
+            for (n, interval) in intervals.iter().enumerate() {
+                let longest = (1_u64 << n).min(300) as f64;
+                assert!((longest / 2.0..=longest).contains(interval), "seed {seed}, failure {n}: {interval}");
             }
-            firsts.push(gaps[5]);
+            sixth_intervals.push(intervals[5]);
             registrant.granted(60, now);
             registrant.failed(now);
-            assert!(registrant.next_deadline().since(now).secs() <= 1.0, "a success forgives the failures");
+            assert!(
+                registrant.next_deadline().since(now).secs() <= 1.0,
+                "a success resets the count of failures"
+            );
         }
-        let early = firsts.iter().filter(|gap| **gap < 24.0).count();
-        assert!((60..140).contains(&early), "{early} of 200 in the first half");
+        let early = sixth_intervals.iter().filter(|interval| **interval < 24.0).count();
+        assert!((60..140).contains(&early), "{early} of 200 intervals in the first half of the range");
     }
 }
--- a/src/iax2/round_trip.rs
+++ b/src/iax2/round_trip.rs
@@ -1,6 +1,6 @@
 //! Round-trip estimates per peer, taken from acknowledgements, and the retransmission intervals that follow from them
-//! (RFC 5456, 7.2.2: the interval follows the measured round trip; the estimator is that of RFC 6298). This module opens
-//! no socket and reads no clock.
+//! (RFC 5456, 7.2.2: the interval follows the measured round trip; the estimator is that of RFC 6298). This module
+//! opens no socket and reads no clock.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -39,8 +39,8 @@
 }
 
 impl RoundTrips {
-    /// Records the time from a frame to its acknowledgement. Not for retransmitted frames, where it is unknown which copy
-    /// was acknowledged.
+    /// Records the time from a frame to its acknowledgement. Not for retransmitted frames, where it is unknown which
+    /// copy was acknowledged.
     pub fn record(&mut self, peer: IpAddr, round_trip: Span) {
         self.measurements += 1;
         let (sample, last_measurement) = (round_trip.secs(), self.measurements);
@@ -68,8 +68,8 @@
     }
 }
 
-/// The interval after `interval`. Intervals grow by a constant factor from `first` to `LAST_INTERVAL`, so that a near peer
-/// soon gets a retransmission, and a silent one gets no more of them than any other.
+/// The interval after `interval`. Intervals grow by a constant factor from `first` to `LAST_INTERVAL`, so that a near
+/// peer soon gets a retransmission, and a silent one gets no more of them than any other.
 pub fn next_interval(first: Span, interval: Span) -> Span {
     let growth =
         (LAST_INTERVAL.secs() / first.secs().max(1e-3)).powf(1.0 / f64::from(MAX_RETRANSMISSIONS - 1));
