--- a/src/iax2/frame.rs
+++ b/src/iax2/frame.rs
@@ -358,14 +358,14 @@
     }
     /// The value of a variable, joined from its parts.
     pub fn variable(&self, name: &str) -> Option<String> {
-        let mut whole: Option<Vec<u8>> = None;
+        let mut joined: Option<Vec<u8>> = None;
         for (_, value) in self.0.iter().filter(|(e, _)| *e == ie::VARIABLE) {
             let part = value.strip_prefix(name.as_bytes()).and_then(|rest| rest.strip_prefix(b"="));
             if let Some(part) = part {
-                whole.get_or_insert_with(Vec::new).extend_from_slice(part);
+                joined.get_or_insert_with(Vec::new).extend_from_slice(part);
             }
         }
-        String::from_utf8(whole?).ok()
+        String::from_utf8(joined?).ok()
     }
 }
 
--- a/tests/iax2_auth.rs
+++ b/tests/iax2_auth.rs
@@ -1,4 +1,5 @@
-//! Authentication on sockets, both ways, and the files that it rests on.
+//! IAX2 authentication over sockets, of callers by the controller and of the controller by call servers, and the
+//! checks of the files of secrets.
 
 mod support;
 
@@ -15,10 +16,10 @@
 const USERS: &str = "[user.desk]\nsecret = 'wort'\n";
 
 fn account(name: &str, secret: &str) -> Account {
-    Account::parse(&format!("username = '{name}'\nsecret = '{secret}'")).expect("good")
+    Account::parse(&format!("username = '{name}'\nsecret = '{secret}'")).expect("valid TOML")
 }
 
-async fn scene(world: &World, secrets: Iax2Secrets) -> (Controller, Rc<IaxServer>) {
+async fn start_controller(world: &World, secrets: Iax2Secrets) -> (Controller, Rc<IaxServer>) {
     let (bulletin, resolver) = (Bulletin::start(world).await, Resolver::start().await);
     let server = IaxServer::start(world, "i0", Does::Answer("a".into())).await;
     resolver.name_server("i0", server.at, 60, &["cell=0".into(), "zone=east".into()]);
@@ -33,13 +34,13 @@
 }
 
 #[test]
-fn a_caller_who_knows_the_secret_is_served_and_others_hear_all_the_same() {
+fn a_caller_with_the_right_secret_is_served_and_all_others_get_the_same_refusal() {
     on_one_thread(async {
         let world = World::default();
         let users = Users::parse(USERS).ok();
-        let (controller, _server) = scene(&world, Iax2Secrets { users, account: None }).await;
+        let (controller, _server) = start_controller(&world, Iax2Secrets { users, account: None }).await;
         let mut refusals = Vec::new();
-        for (n, me) in [
+        for (n, account_used) in [
             Some(account("desk", "wort")),
             Some(account("desk", "wrong")),
             Some(account("nobody", "wort")),
@@ -50,8 +51,8 @@
         .enumerate()
         {
             let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
-            let right = me == Some(account("desk", "wort"));
-            *caller.account.borrow_mut() = me;
+            let right = account_used == Some(account("desk", "wort"));
+            *caller.account.borrow_mut() = account_used;
             let sid = name(n as u64);
             caller.open(&sid, 5_000, 0, "x");
             let answer = world.answer(&sid).await.what;
@@ -62,7 +63,7 @@
             }
         }
         assert_eq!(refusals, vec![What::Close(21, None); 3]);
-        // No call server has heard of those who were not let in, nor has the core.
+        // Neither the core nor a call server has seen the calls that failed authentication.
         assert_eq!(world.count(|s| matches!(s.what, What::SetUp(..))), 2);
         let counters = controller.instance.counters();
         assert_eq!((counters.iax2_not_let_in, counters.taken), (3, 2));
@@ -71,31 +72,32 @@
 }
 
 #[test]
-fn the_controller_says_who_it_is_to_a_call_server_that_asks() {
+fn the_controller_authenticates_to_a_call_server_that_asks() {
     on_one_thread(async {
         for (secret, right) in [("wort", true), ("wrong", false)] {
             let world = World::default();
             let mine = Some(account("desk", secret));
-            let (controller, server) = scene(&world, Iax2Secrets { users: None, account: mine }).await;
+            let (controller, server) =
+                start_controller(&world, Iax2Secrets { users: None, account: mine }).await;
             *server.examiner.borrow_mut() =
-                Some(Authenticator::new(Users::parse(USERS).expect("good"), [1; 32]));
+                Some(Authenticator::new(Users::parse(USERS).expect("valid TOML"), [1; 32]));
             let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
             caller.open(&name(1), 3_000, 0, "x");
-            let stands = world.answer(&name(1)).await.what == What::Ready("a".into());
-            assert_eq!(stands, right, "{secret}");
+            let established = world.answer(&name(1)).await.what == What::Ready("a".into());
+            assert_eq!(established, right, "{secret}");
             controller.stop().await;
         }
     });
 }
 
-/// Guards against a file of secrets that others read, and against a message that tells one.
+/// Guards against a file of secrets that other users can read, and against an error message that shows a secret.
 #[test]
 fn files_of_secrets_are_checked_with_the_configuration() {
     let dir = std::env::temp_dir().join(format!("lockpoint-auth-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let example = include_str!("../deploy/agent.toml");
     let text = example.replacen("left_ms = 9000", "users = \"users.toml\"\nleft_ms = 9000", 1);
-    let put = |text: &str, mode| -> PathBuf {
+    let write = |text: &str, mode| -> PathBuf {
         let file = dir.join("users.toml");
         std::fs::write(&file, text).expect("written");
         std::fs::set_permissions(&file, std::fs::Permissions::from_mode(mode)).expect("set");
@@ -105,11 +107,11 @@
         || parse_operator(&dir.join("agent.toml"), &text).map(|config| config.instances[0].secrets.clone());
     let fault = || check().expect_err("a fault").to_string();
     assert!(fault().contains("'instance[0].iax2.users'"), "{}", fault());
-    put(USERS, 0o644);
+    write(USERS, 0o644);
     assert!(fault().contains("users.toml: others can read") && fault().contains("644"), "{}", fault());
-    put("[user.desk]\nsecrets = 'wort'\n", 0o600);
+    write("[user.desk]\nsecrets = 'wort'\n", 0o600);
     assert!(fault().contains("user.desk") && !fault().contains("wort"), "{}", fault());
-    put(USERS, 0o600);
+    write(USERS, 0o600);
     assert!(check().expect("no fault").users.is_some());
     assert!(parse_operator(Path::new("agent.toml"), example).expect("no fault").instances[0]
         .secrets
--- a/tests/iax2_registration.rs
+++ b/tests/iax2_registration.rs
@@ -1,4 +1,5 @@
-//! Registration: call servers that become members, leave, come back and vanish; in driven time, and on sockets.
+//! IAX2 registration: call servers that become members, leave, return and disappear; in simulated time, and over
+//! sockets.
 
 mod support;
 
@@ -23,33 +24,33 @@
     "[user.s1]\nsecret = 'wort'\nserver = { cell = 2, zone = 'east' }\n[user.box]\nsecret = 'b'\n";
 
 fn account(name: &str, secret: &str) -> Account {
-    Account::parse(&format!("username = '{name}'\nsecret = '{secret}'")).expect("good")
+    Account::parse(&format!("username = '{name}'\nsecret = '{secret}'")).expect("valid TOML")
 }
 
-/// A front and a peer that registers, without a socket between them.
+/// A front and a peer that registers with it, without sockets.
 struct Pair {
     front: Callers,
     peer: Legs<()>,
     at: SocketAddr,
     now: Time,
-    /// The last list that the front told.
+    /// The last list of call servers that the front reported.
     list: Option<Vec<HostLine>>,
-    /// When the front wants to be looked at for its registrations.
+    /// The deadline of the front for its registrations, and its key.
     due: Option<(Time, u64)>,
 }
 
 impl Pair {
     fn new() -> Pair {
-        let usual =
+        let defaults =
             Usual { class: "c".into(), left: Span::from_millis(9_000), zones: vec!["east".into()], seed: 1 };
-        let mut front = Callers::new(usual, Door::new(TokenPolicy::Required, [2; 32]));
+        let mut front = Callers::new(defaults, Door::new(TokenPolicy::Required, [2; 32]));
         front.reconfigure(Span::from_millis(9_000), &[], TokenPolicy::Required, Default::default());
         front.examine(Users::parse(USERS).ok().as_ref(), [3; 32]);
         let at = SocketAddr::from(([127, 0, 0, 1], 4_001));
         Pair { front, peer: Legs::default(), at, now: Time(1_700_000_000_000_000), list: None, due: None }
     }
 
-    fn took(&mut self, todo: Todo) -> Vec<Outgoing> {
+    fn apply(&mut self, todo: Todo) -> Vec<Outgoing> {
         for input in todo.inputs {
             let Input::List { source, whole, hosts } = input else { panic!("{input:?}") };
             assert_eq!((source, whole), (Source::Registered, true));
@@ -62,113 +63,116 @@
         todo.to_callers
     }
 
-    /// Registers or leaves; what the front says in the end.
-    fn registers(&mut self, kind: Iax, me: &Account, secs: u16) -> Frame {
+    /// Registers or unregisters, and returns the final frame of the front.
+    fn register(&mut self, kind: Iax, me: &Account, secs: u16) -> Frame {
         let front_at = SocketAddr::from(([127, 0, 0, 1], 4_569));
         let mut out = Vec::new();
         let no = self.peer.open_outgoing(front_at, (), self.now).expect("a number");
-        let refresh = |e: Elements| e.with(ie::REFRESH, &secs.to_be_bytes());
-        let first =
-            refresh(Elements::default()).with(ie::USERNAME, me.username.as_bytes()).with(ie::CALLTOKEN, &[]);
+        let with_refresh = |e: Elements| e.with(ie::REFRESH, &secs.to_be_bytes());
+        let first = with_refresh(Elements::default())
+            .with(ie::USERNAME, me.username.as_bytes())
+            .with(ie::CALLTOKEN, &[]);
         self.peer.send(no, Kind::Iax(kind), first, self.now, &mut out);
-        let mut ends = None;
+        let mut last = None;
         while !out.is_empty() {
-            let mut back = Vec::new();
+            let mut replies = Vec::new();
             for (_, bytes) in out.drain(..) {
                 let mut todo = Todo::default();
                 self.front.datagram(self.at, &bytes, self.now, &mut todo);
-                back.extend(self.took(todo));
+                replies.extend(self.apply(todo));
             }
-            for (_, bytes) in back {
-                let Ok(Datagram::Full(frame)) = parse(&bytes) else { panic!("not read") };
+            for (_, bytes) in replies {
+                let Ok(Datagram::Full(frame)) = parse(&bytes) else { panic!("a reply does not parse") };
                 match self.peer.receive(front_at, &frame, self.now, &mut out) {
                     Some(LegEvent::Frame(no, asked)) if asked.kind == Kind::Iax(Iax::RegAuth) => {
-                        let answer = refresh(me.respond(&asked.elements).expect("an answer"));
+                        let answer = with_refresh(me.respond(&asked.elements).expect("an answer"));
                         self.peer.send(no, Kind::Iax(kind), answer, self.now, &mut out);
                     }
-                    Some(LegEvent::Frame(_, frame)) => ends = Some(frame),
+                    Some(LegEvent::Frame(_, frame)) => last = Some(frame),
                     _ => {}
                 }
             }
         }
-        ends.expect("an end")
+        last.expect("a final frame")
     }
 
+    /// Lets time pass, and runs the deadlines of the front.
     fn pass(&mut self, secs: u64) {
         let until = self.now.plus(Span::from_millis(secs * 1_000));
         while let Some((at, key)) = self.due.filter(|(at, _)| *at <= until) {
             (self.now, self.due) = (at, None);
             let mut todo = Todo::default();
             self.front.due(key, at, &mut todo);
-            self.took(todo);
+            self.apply(todo);
         }
         self.now = until;
     }
 
-    fn told(&self) -> Vec<(String, u16, u64)> {
+    /// Host, cell and start time of each listed call server.
+    fn listed(&self) -> Vec<(String, u16, u64)> {
         let lines = self.list.iter().flatten();
         lines.map(|line| (line.host.clone(), line.cell.0, line.born_ms)).collect()
     }
 }
 
 #[test]
-fn a_call_server_is_listed_from_its_registration_to_its_end() {
+fn a_call_server_is_listed_until_its_registration_expires_or_is_released() {
     let mut pair = Pair::new();
     let me = account("s1", "wort");
     let began = pair.now.0 / 1_000;
-    let ack = pair.registers(Iax::RegReq, &me, 60);
+    let ack = pair.register(Iax::RegReq, &me, 60);
     assert_eq!(ack.kind, Kind::Iax(Iax::RegAck));
     assert_eq!(ack.elements.get(ie::REFRESH), Some(&[0, 60][..]));
     assert_eq!(ack.elements.get(ie::APPARENT_ADDR), Some(&apparent(pair.at)[..]));
-    assert_eq!(pair.told(), [("s1".to_owned(), 2, began)]);
-    // A renewal in time keeps it as old as it is.
+    assert_eq!(pair.listed(), [("s1".to_owned(), 2, began)]);
+    // A renewal in time keeps the start time.
     pair.pass(50);
-    pair.registers(Iax::RegReq, &me, 60);
-    assert_eq!(pair.told(), [("s1".to_owned(), 2, began)]);
-    // Not renewed, it is gone, no sooner than its time is over.
+    pair.register(Iax::RegReq, &me, 60);
+    assert_eq!(pair.listed(), [("s1".to_owned(), 2, began)]);
+    // Without a renewal it is removed, but not before its registration expires.
     pair.pass(65);
-    assert_eq!(pair.told().len(), 1);
+    assert_eq!(pair.listed().len(), 1);
     pair.pass(2);
-    assert_eq!(pair.told(), []);
-    // It comes back as one that has just started.
+    assert_eq!(pair.listed(), []);
+    // It returns as a call server that has just started.
     pair.pass(10);
-    pair.registers(Iax::RegReq, &me, 60);
-    assert_eq!(pair.told(), [("s1".to_owned(), 2, began + 127_000)]);
-    assert_eq!(pair.registers(Iax::RegRel, &me, 0).kind, Kind::Iax(Iax::RegAck));
-    assert_eq!(pair.told(), []);
+    pair.register(Iax::RegReq, &me, 60);
+    assert_eq!(pair.listed(), [("s1".to_owned(), 2, began + 127_000)]);
+    assert_eq!(pair.register(Iax::RegRel, &me, 0).kind, Kind::Iax(Iax::RegAck));
+    assert_eq!(pair.listed(), []);
 }
 
 #[test]
-fn a_wrong_secret_another_place_and_a_mere_caller_change_no_list() {
+fn a_wrong_secret_another_address_or_a_user_without_server_does_not_change_the_list() {
     let mut pair = Pair::new();
-    assert_eq!(pair.registers(Iax::RegReq, &account("s1", "wrong"), 60).kind, Kind::Iax(Iax::RegRej));
+    assert_eq!(pair.register(Iax::RegReq, &account("s1", "wrong"), 60).kind, Kind::Iax(Iax::RegRej));
     assert_eq!(pair.list, None);
-    assert_eq!(pair.registers(Iax::RegReq, &account("box", "b"), 60).kind, Kind::Iax(Iax::RegAck));
-    assert_eq!(pair.told(), []);
+    assert_eq!(pair.register(Iax::RegReq, &account("box", "b"), 60).kind, Kind::Iax(Iax::RegAck));
+    assert_eq!(pair.listed(), []);
     let me = account("s1", "wort");
-    assert_eq!(pair.registers(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegAck));
+    assert_eq!(pair.register(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegAck));
     let dial = |pair: &Pair| pair.list.iter().flatten().map(|line| line.dial.port()).collect::<Vec<_>>();
-    // Two machines with one secret: the later one waits until the first has settled, then takes its place.
+    // Two call servers with one secret: the second is rejected for ten seconds, then replaces the first.
     pair.at.set_port(4_002);
-    assert_eq!(pair.registers(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegRej));
+    assert_eq!(pair.register(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegRej));
     assert_eq!(dial(&pair), [4_001]);
     pair.pass(11);
-    assert_eq!(pair.registers(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegAck));
+    assert_eq!(pair.register(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegAck));
     assert_eq!(dial(&pair), [4_002]);
     pair.at.set_port(4_001);
-    assert_eq!(pair.registers(Iax::RegRel, &me, 0).kind, Kind::Iax(Iax::RegAck));
-    assert_eq!(dial(&pair), [4_002], "who is not there takes nobody away");
-    // A user who is struck from the file is gone with the reload.
-    let rest = Users::parse("[user.box]\nsecret = 'b'\n").expect("good");
-    pair.front.examine(Some(&rest), [3; 32]);
+    assert_eq!(pair.register(Iax::RegRel, &me, 0).kind, Kind::Iax(Iax::RegAck));
+    assert_eq!(dial(&pair), [4_002], "a release from another address changes nothing");
+    // A user that is removed from the file is removed from the list on reload.
+    let remaining = Users::parse("[user.box]\nsecret = 'b'\n").expect("valid TOML");
+    pair.front.examine(Some(&remaining), [3; 32]);
     let (mut todo, now) = (Todo::default(), pair.now);
     pair.front.expire(now, &mut todo);
-    pair.took(todo);
+    pair.apply(todo);
     assert!(dial(&pair).is_empty());
 }
 
 #[test]
-fn calls_go_to_a_registered_call_server_and_none_after_it_has_left() {
+fn calls_are_sent_to_a_registered_call_server_and_none_after_its_release() {
     on_one_thread(async {
         let world = World::default();
         let mut config = support::config("127.0.0.1:9".parse().expect("an address"));
@@ -182,13 +186,13 @@
         let me = account("s1", "wort");
         let says = |what: &'static str| move |s: &support::Seen| matches!(&s.what, What::Other(said) if said.contains(what));
         server.register(at, &me, false);
-        world.until("registered", says("RegAck")).await;
+        world.until("the registration is acknowledged", says("RegAck")).await;
         controller.holds_list().await;
         let caller = IaxCaller::start(&world, "c", at).await;
         *caller.account.borrow_mut() = Some(account("box", "b"));
-        // It has just started: it is eased in, so the first callers may be told to come back.
+        // It has just started and is cold, so that the first callers may be asked to retry.
         let mut n = 0;
-        let stands = loop {
+        let answer = loop {
             n += 1;
             caller.open(&name(n), 5_000, 2, "x");
             match world.answer(&name(n)).await.what {
@@ -197,23 +201,23 @@
                 other => panic!("{other:?}"),
             }
         };
-        assert_eq!(stands, "a");
+        assert_eq!(answer, "a");
         let (first, next) = (name(n), name(n + 1));
         server.register(at, &me, true);
-        world.until_all("it has left", 2, says("RegAck")).await;
+        world.until_all("the release is acknowledged", 2, says("RegAck")).await;
         caller.open(&next, 1_500, 2, "x");
         assert!(matches!(world.answer(&next).await.what, What::Close(..)));
         assert_eq!(world.count(|s| s.sid == next && matches!(s.what, What::SetUp(..))), 0);
-        // The call that stood goes on: leaving takes no new work, and cuts none.
+        // The established call continues: a release stops new calls only.
         assert_eq!(world.count(|s| s.sid == first && matches!(s.what, What::Close(..))), 0);
         server.release(&first, 16);
-        world.until("its end", |s| s.sid == first && s.what == What::Close(16, None)).await;
+        world.until("the release of the call", |s| s.sid == first && s.what == What::Close(16, None)).await;
         controller.stop().await;
     });
 }
 
 #[test]
-fn a_controller_registers_at_another_and_once_more_when_it_was_refused() {
+fn a_controller_registers_at_another_and_retries_after_a_refusal() {
     on_one_thread(async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let config = |iax2, secrets| {
@@ -229,15 +233,27 @@
         let mut upstream = config(Iax2Config { register: vec![at], ..iax2() }, mine);
         upstream.console = None;
         let controller = Controller::start(upstream).await;
-        registrar.turns("it is refused", |instance| instance.counters().iax2_not_let_in > 0).await;
+        registrar
+            .turns("the registration is refused", |instance| instance.counters().iax2_not_let_in > 0)
+            .await;
         assert_eq!(controller.instance.counters().iax2_registered_at, 0);
-        // Its user is added by a reload; the next try, a second later at most, is granted.
+        // A reload adds the user; the next attempt, at most a second later, is granted.
         let users = Users::parse(USERS).ok();
         registrar.instance.reload(config(iax2(), Iax2Secrets { users, account: None }));
-        controller.turns("it is registered", |instance| instance.counters().iax2_registered_at == 1).await;
-        registrar.turns("it is a member", |instance| instance.servers().iter().any(|s| s.host == "s1")).await;
+        controller
+            .turns("the controller is registered", |instance| instance.counters().iax2_registered_at == 1)
+            .await;
+        registrar
+            .turns("the registration makes it a member", |instance| {
+                instance.servers().iter().any(|s| s.host == "s1")
+            })
+            .await;
         let dial = registrar.instance.servers()[0].dial;
-        assert_eq!(Some(dial), controller.iax2_at, "calls are to come where it takes them");
+        assert_eq!(
+            Some(dial),
+            controller.iax2_at,
+            "the registered address is the one at which the controller takes calls"
+        );
         controller.stop().await;
         registrar.stop().await;
     });
--- a/tests/iax2_tokens.rs
+++ b/tests/iax2_tokens.rs
@@ -1,4 +1,4 @@
-//! Call tokens on sockets, both ways: as callee towards callers, as caller towards call servers.
+//! Call tokens over sockets: those the controller asks of callers, and those that call servers ask of it.
 
 mod support;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_caller_shows_its_token_to_the_controller_and_the_controller_its_own_to_a_call_server() {
+fn a_caller_presents_a_token_to_the_controller_and_the_controller_one_to_a_call_server() {
     on_one_thread(async {
         let world = World::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
@@ -35,16 +35,20 @@
         let caller = IaxCaller::start(&world, "c", at).await;
         caller.open(&name(1), 5_000, 0, "x");
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
-        assert_eq!(world.count(|s| matches!(s.what, What::SetUp(..))), 1, "a token is no second attempt");
+        assert_eq!(
+            world.count(|s| matches!(s.what, What::SetUp(..))),
+            1,
+            "a NEW resent with a token is not a second attempt"
+        );
         let counters = controller.instance.counters();
         assert_eq!((counters.iax2_tokens_asked, counters.iax2_calls_in, counters.attempts), (1, 1, 1));
         controller.stop().await;
     });
 }
 
-/// Guards against a leg, or anything else, that is kept for an address which may be forged.
+/// Guards against a leg or other state that is kept for an address which may be forged.
 #[test]
-fn nothing_is_kept_of_a_new_without_a_good_token_and_the_front_says_so_where_it_is_no_amplifier() {
+fn a_new_without_a_valid_token_leaves_no_state_and_is_answered_only_if_it_has_no_forged_token() {
     on_one_thread(async {
         let world = World::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
@@ -64,26 +68,26 @@
             elements: elements.with(ie::CALLED_NUMBER, b"7").with(ie::CALLED_CONTEXT, b"judge-call"),
             data: Vec::new(),
         };
-        let hears = || async {
+        let receive = || async {
             let mut bytes = [0; 1_000];
             let n = raw.recv(&mut bytes).await.expect("an answer");
             let Ok(Datagram::Full(frame)) = parse(&bytes[..n]) else { panic!("{:?}", &bytes[..n]) };
             frame
         };
         raw.send(&new(1, Elements::default()).bytes()).await.expect("sent");
-        assert_eq!(hears().await.kind, Kind::Iax(Iax::Reject));
-        // A token that was never given gets no answer: the next one that is heard belongs to the NEW after it.
+        assert_eq!(receive().await.kind, Kind::Iax(Iax::Reject));
+        // A token that was never issued gets no answer: the next frame received answers the NEW after it.
         raw.send(&new(2, Elements::default().with(ie::CALLTOKEN, &[7; 24])).bytes()).await.expect("sent");
         raw.send(&new(3, Elements::default().with(ie::CALLTOKEN, &[])).bytes()).await.expect("sent");
-        let given = hears().await;
-        assert_eq!((given.kind, given.dest), (Kind::Iax(Iax::CallToken), 3));
+        let reply = receive().await;
+        assert_eq!((reply.kind, reply.dest), (Kind::Iax(Iax::CallToken), 3));
         let counters = controller.instance.counters();
         assert_eq!((counters.iax2_callers, counters.iax2_calls_in, counters.taken), (0, 0, 0));
         assert_eq!((counters.iax2_tokens_asked, counters.iax2_tokens_refused), (2, 1));
-        // With the one that was given it is a call.
-        let token = given.elements.get(ie::CALLTOKEN).expect("a token").to_vec();
+        // With the issued token the NEW sets up a call.
+        let token = reply.elements.get(ie::CALLTOKEN).expect("a token").to_vec();
         raw.send(&new(3, Elements::default().with(ie::CALLTOKEN, &token)).bytes()).await.expect("sent");
-        while hears().await.kind != Kind::Iax(Iax::Accept) {}
+        while receive().await.kind != Kind::Iax(Iax::Accept) {}
         assert_eq!(controller.instance.counters().iax2_calls_in, 1);
         controller.stop().await;
     });
--- a/tests/support/iax2.rs
+++ b/tests/support/iax2.rs
@@ -1,4 +1,4 @@
-//! The laboratory's IAX2 stand-ins.
+//! The simulated IAX2 callers and call servers of the laboratory.
 
 pub use lockpoint_lab::iax2::{IaxCaller, IaxServer};
 pub use lockpoint_lab::resolver::{Resolver, SERVICE};
