--- a/crates/lockpoint-lab/src/fleet/crash.rs
+++ b/crates/lockpoint-lab/src/fleet/crash.rs
@@ -10,7 +10,7 @@
 
 use clap::{Args, Subcommand};
 use lockpoint::core::Sid;
-use lockpoint::recovery::records::{Change, KeptCall};
+use lockpoint::recovery::records::{CallRecord, RecordChange};
 use lockpoint_store::{Batch, Durability, Store};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -484,14 +484,16 @@
     let mut store = Store::open(file).map_err(fail)?;
     let mut batch = Batch::default();
     for no in 0..calls {
-        let kept = KeptCall {
+        let kept = CallRecord {
             host: host.to_owned(),
-            born_ms: 0,
+            started_ms: 0,
             number: "7f3a9c21e0b4d655".into(),
             since_ms: 1,
             leg: false,
         };
-        if let (key, Some(value)) = Change::Stands(Sid::numbered(0xf000_0000_0000 + no), kept).encoded() {
+        if let (key, Some(value)) =
+            RecordChange::CallEstablished(Sid::numbered(0xf000_0000_0000 + no), kept).encoded()
+        {
             batch.put(&key, &value);
         }
     }
@@ -517,21 +519,23 @@
         ("each call synced", 1, Durability::Synced),
         ("10 calls a sync", 10, Durability::Synced),
         ("100 calls a sync", 100, Durability::Synced),
-        ("not synced", 1, Durability::Later),
+        ("not synced", 1, Durability::Deferred),
     ] {
         let mut store = Store::open(&file).map_err(|e| fail(&e))?;
         let (begin, mut calls) = (Instant::now(), 0u64);
         while begin.elapsed() < WHILE {
             let mut batch = Batch::default();
             for _ in 0..group {
-                let kept = KeptCall {
+                let kept = CallRecord {
                     host: "s0".into(),
-                    born_ms: 0,
+                    started_ms: 0,
                     number: "7f3a9c21e0b4d655".into(),
                     since_ms: 1,
                     leg: false,
                 };
-                if let (key, Some(value)) = Change::Stands(Sid::numbered(calls), kept).encoded() {
+                if let (key, Some(value)) =
+                    RecordChange::CallEstablished(Sid::numbered(calls), kept).encoded()
+                {
                     batch.put(&key, &value);
                 }
                 calls += 1;
--- a/crates/lockpoint-store/src/lib.rs
+++ b/crates/lockpoint-store/src/lib.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Durability {
     /// It is in memory. A power loss takes it back, and all that came after the last synced one with it, in order.
-    Later,
+    Deferred,
     /// It is on the disk, and all before it.
     Synced,
 }
@@ -157,7 +157,7 @@
     }
 
     /// The same on something else than a file.
-    pub fn on(disk: impl StorageBackend) -> Result<Store, StoreError> {
+    pub fn with_backend(disk: impl StorageBackend) -> Result<Store, StoreError> {
         let db = Database::builder().set_cache_size(CACHE).create_with_backend(disk);
         Store::of(db.map_err(storage)?)
     }
@@ -205,7 +205,7 @@
     fn write(&mut self, batch: &Batch, durability: Durability, sequence: u64) -> Result<(), StoreError> {
         let mut writing = self.db.begin_write().map_err(storage)?;
         let durable = match durability {
-            Durability::Later => redb::Durability::None,
+            Durability::Deferred => redb::Durability::None,
             Durability::Synced => redb::Durability::Immediate,
         };
         writing.set_durability(durable).map_err(storage)?;
--- a/crates/lockpoint-store/src/sim.rs
+++ b/crates/lockpoint-store/src/sim.rs
@@ -48,7 +48,7 @@
 
 impl SimDisk {
     /// A disk that holds these bytes.
-    pub fn holding(bytes: Vec<u8>) -> SimDisk {
+    pub fn from_image(bytes: Vec<u8>) -> SimDisk {
         SimDisk(Arc::new(Mutex::new(Inner { seen: bytes.clone(), kept: bytes, ..Inner::default() })))
     }
 
@@ -67,17 +67,17 @@
     }
 
     /// Operations done so far.
-    pub fn done(&self) -> u64 {
+    pub fn operations(&self) -> u64 {
         self.with(|inner| inner.done)
     }
 
     /// Changes that are not synced.
-    pub fn unsynced(&self) -> usize {
+    pub fn unsynced_changes(&self) -> usize {
         self.with(|inner| inner.unsynced.len())
     }
 
     /// The bytes of the last change that is not synced.
-    pub fn last_write(&self) -> usize {
+    pub fn last_write_len(&self) -> usize {
         self.with(|inner| match inner.unsynced.last() {
             Some(Change::Write(_, bytes)) => bytes.len(),
             Some(Change::Length(_)) | None => 0,
@@ -95,7 +95,7 @@
                 let bytes = if no == last { bytes } else { bytes.div_ceil(SECTOR).saturating_mul(SECTOR) };
                 apply(&mut image, change, bytes);
             }
-            SimDisk::holding(image)
+            SimDisk::from_image(image)
         })
     }
 
--- a/crates/lockpoint-store/tests/crashes.rs
+++ b/crates/lockpoint-store/tests/crashes.rs
@@ -20,7 +20,7 @@
             batch.remove(&call((no - 2) * 3));
         }
         batch.put(b"usual", no.to_string().as_bytes());
-        (batch, if no % 4 == 3 { Durability::Later } else { Durability::Synced })
+        (batch, if no % 4 == 3 { Durability::Deferred } else { Durability::Synced })
     };
     (0..10).map(batch).collect()
 }
@@ -28,13 +28,13 @@
 /// A disk with an empty store, as `Store::open` moves one to its place.
 fn made() -> SimDisk {
     let disk = SimDisk::default();
-    drop(Store::on(disk.clone()).expect("a new store"));
-    SimDisk::holding(disk.image())
+    drop(Store::with_backend(disk.clone()).expect("a new store"));
+    SimDisk::from_image(disk.image())
 }
 
 /// What the store holds after each number of batches.
 fn states() -> Vec<Items> {
-    let mut store = Store::on(made()).expect("an empty store");
+    let mut store = Store::with_backend(made()).expect("an empty store");
     let all = |store: &Store| store.scan(b"").expect("read").into_iter().collect::<Items>();
     let mut states = vec![all(&store)];
     for (batch, durability) in script() {
@@ -46,7 +46,7 @@
 
 /// Runs the script until the disk fails; how many batches were known to be on the disk, and how many were begun.
 fn run(disk: &SimDisk, compacts: bool) -> (usize, usize) {
-    let Ok(mut store) = Store::on(disk.clone()) else { return (0, 0) };
+    let Ok(mut store) = Store::with_backend(disk.clone()) else { return (0, 0) };
     let (mut synced, mut begun) = (0, 0);
     for (no, (batch, durability)) in script().iter().enumerate() {
         begun = no + 1;
@@ -72,7 +72,7 @@
 
 /// What is there after the power came back must be the state after so many batches, at least the synced ones.
 fn holds(disk: SimDisk, states: &[Items], synced: usize, begun: usize, what: &str) {
-    let mut store = Store::on(disk).unwrap_or_else(|error| panic!("{what}: {error}"));
+    let mut store = Store::with_backend(disk).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found: Items =
         store.scan(b"").unwrap_or_else(|error| panic!("{what}: {error}")).into_iter().collect();
     let sequence = usize::try_from(store.sequence()).expect("small");
@@ -88,12 +88,12 @@
     let whole = made();
     assert_eq!(run(&whole, compacts), (10, 10), "the script ends with a synced batch");
     let mut images = 0;
-    for at in 0..whole.done() {
+    for at in 0..whole.operations() {
         let disk = made();
         disk.fail_at(at);
         let (synced, begun) = run(&disk, compacts);
         // Nothing of the rest is kept; all of it; every other change; all but one; each in turn torn.
-        let unsynced = disk.unsynced();
+        let unsynced = disk.unsynced_changes();
         let mut lose = |what: String, keeps: &mut dyn FnMut(usize) -> Option<usize>| {
             holds(disk.power_loss(keeps), &states, synced, begun, &what);
             images += 1;
@@ -109,7 +109,7 @@
             });
         }
     }
-    println!("{} operations, {images} images", whole.done());
+    println!("{} operations, {images} images", whole.operations());
     assert!(images > 500, "{images}");
 }
 
@@ -130,14 +130,14 @@
     let whole = made();
     run(&whole, false);
     let mut images = 0;
-    for at in (0..whole.done()).step_by(7) {
+    for at in (0..whole.operations()).step_by(7) {
         let disk = made();
         disk.fail_at(at);
         let (synced, begun) = run(&disk, false);
-        let last = disk.unsynced().saturating_sub(1);
+        let last = disk.unsynced_changes().saturating_sub(1);
         // A page is 4,096 bytes; headers are shorter. Every byte of those, every 64th of a page.
-        let step = if disk.last_write() > 512 { 64 } else { 1 };
-        for bytes in (0..disk.last_write()).step_by(step) {
+        let step = if disk.last_write_len() > 512 { 64 } else { 1 };
+        for bytes in (0..disk.last_write_len()).step_by(step) {
             let torn = disk.power_loss(|no| Some(if no == last { bytes } else { usize::MAX }));
             holds(torn, &states, synced, begun, &format!("operation {at}: {bytes} bytes of the last write"));
             images += 1;
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -4,7 +4,7 @@
 
 use lockpoint_store::{Store, StoreError};
 
-use crate::recovery::records::Found;
+use crate::recovery::records::Records;
 
 /// What is there, in a line or as JSON.
 pub fn info(file: &Path, json: bool) -> Result<String, StoreError> {
@@ -53,20 +53,20 @@
             ),
         });
     }
-    for (sid, cause) in &found.owed {
+    for (sid, cause) in &found.pending_releases {
         lines.push(match json {
             true => serde_json::json!({"call": sid.as_str(), "owed": cause}).to_string(),
             false => format!("call {sid} owes a release with cause {cause}"),
         });
     }
-    for kept in &found.list {
+    for kept in &found.directory {
         lines.push(match json {
             true => serde_json::json!({"listed": kept}).to_string(),
             false => {
-                let line = &kept.line;
+                let line = &kept.entry;
                 format!(
                     "{} {} {:?} told {} ms, born {} ms",
-                    line.host, line.dial, line.state, kept.told_ms, line.born_ms
+                    line.host, line.dial, line.state, kept.listed_ms, line.born_ms
                 )
             }
         });
@@ -82,7 +82,7 @@
     }
 }
 
-fn found(store: &Store) -> Result<Found, StoreError> {
+fn found(store: &Store) -> Result<Records, StoreError> {
     let items = store.scan(b"")?;
-    Ok(Found::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice()))))
+    Ok(Records::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice()))))
 }
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -8,7 +8,7 @@
 use crate::core::send::ended;
 use crate::core::{Caller, Client, Core, Due, Effect, FrontKind, Report, Sid};
 use crate::interface::{Attempt, AttemptEnd, CallId, Cause, Event, Outcome, ServerId, Span, Time};
-use crate::recovery::records::Change;
+use crate::recovery::records::RecordChange;
 
 /// An ended call is remembered this long: a release that crosses ours must not be taken for an unknown call's.
 const REMEMBERED: Span = Span::from_millis(30_000);
@@ -216,7 +216,7 @@
     pub(super) fn end_standing(&mut self, sid: Sid, cause: u16, out: &mut Vec<Effect>) {
         let Some(s) = self.book.no_longer_stands(sid) else { return };
         self.remember(sid);
-        self.note_change(|| Change::Ends(sid));
+        self.note_change(|| RecordChange::CallEnded(sid));
         self.no_longer_trusted(sid);
         out.push(Effect::Bye(s.server, sid, cause));
         self.tell_end(s, Outcome::Cancelled, &Report::new(), out);
@@ -312,7 +312,7 @@
         match own.or_else(any) {
             Some(client) => {
                 self.counts.released += 1;
-                self.note_change(|| Change::Ends(sid));
+                self.note_change(|| RecordChange::CallEnded(sid));
                 if shared && self.book.unheard.len() < MOST_KEPT {
                     self.book.unheard.insert(sid, (client, Owed { cause, said: said + 1 }));
                 }
@@ -320,10 +320,10 @@
             }
             None if shared && self.book.unsaid.len() < MOST_KEPT => {
                 self.book.unsaid.insert(sid, Owed { cause, said });
-                self.note_change(|| Change::Owes(sid, cause));
+                self.note_change(|| RecordChange::ReleasePending(sid, cause));
                 self.deadlines.set(self.now.plus(UNSAID), Due::Unsaid(sid));
             }
-            None => self.note_change(|| Change::Ends(sid)),
+            None => self.note_change(|| RecordChange::CallEnded(sid)),
         }
     }
 
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 
 use crate::core::{Core, Due, Effect, HostLine};
-use crate::fleet::credit_transfer::{CreditCounts, CreditNews};
+use crate::fleet::credit_transfer::{CreditCounts, CreditMessage};
 use crate::fleet::failure_detector::PeerCounts;
 use crate::fleet::observation::{decode_listing, encode_listing};
-use crate::fleet::warnings::{Expiry, WarningChange};
-use crate::fleet::{Fleet, FleetCounts, Key, News, Observation, Outgoing};
+use crate::fleet::warnings::{WarningChange, WarningExpiry};
+use crate::fleet::{Fleet, FleetCounts, Key, Observation, Outgoing, PeerUpdate};
 use crate::interface::{Cause, Event, ListKind, Outcome, Parts, ServerId, ServerState, Span, Time};
 
 /// A refusal as full without a wait is published as a wait too long for any call: this multiple of the shortest aim.
@@ -100,16 +100,16 @@
         let Ok(news) = fleet.receive(now, from, &data) else { return };
         for news in news {
             match news {
-                News::Observed(key, observation) => match self.keys.0.get(&key).copied() {
+                PeerUpdate::Observed(key, observation) => match self.keys.0.get(&key).copied() {
                     Some(Subject::Processor(server)) => self.feed_observation(server, observation, out),
                     Some(Subject::Listing(server)) => self.peer_listing(server, observation, out),
                     None => {}
                 },
-                News::Credit(CreditNews::Requested { from, key, parts }) => {
+                PeerUpdate::Credit(CreditMessage::Requested { from, key, parts }) => {
                     let Some(server) = self.server_of(key) else { continue };
                     self.feed(Event::Asked { from, server, parts }, out);
                 }
-                News::Credit(CreditNews::Granted { key, parts }) => {
+                PeerUpdate::Credit(CreditMessage::Granted { key, parts }) => {
                     let Some(server) = self.server_of(key) else { continue };
                     self.feed(Event::Lent { server, parts }, out);
                 }
@@ -180,8 +180,10 @@
     /// A warning may have expired.
     pub(super) fn warning_due(&mut self, server: ServerId, out: &mut Vec<Effect>) {
         match self.warnings.check_expiry(self.now, server) {
-            Some(Expiry::Expired) => self.end_warning(server, "not confirmed by our own directory", out),
-            Some(Expiry::ActiveUntil(later)) => self.deadlines.set(later, Due::Warned(server)),
+            Some(WarningExpiry::Expired) => {
+                self.end_warning(server, "not confirmed by our own directory", out)
+            }
+            Some(WarningExpiry::ActiveUntil(later)) => self.deadlines.set(later, Due::Warned(server)),
             None => {}
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -24,7 +24,7 @@
 use crate::fleet::warnings::Warnings;
 use crate::fleet::{Fleet, FleetConfig};
 use crate::interface::{CallId, Event, ServerId, ServerState, Settings, Span, Time, Token};
-use crate::recovery::records::Change;
+use crate::recovery::records::RecordChange;
 use crate::rules::Controller;
 use book::Book;
 use deadlines::Deadlines;
@@ -319,7 +319,7 @@
                 Due::Greets(client) => self.client_speaks(client, out),
                 Due::Unsaid(sid) => {
                     self.book.drop_unsaid(sid);
-                    self.note_change(|| Change::Ends(sid));
+                    self.note_change(|| RecordChange::CallEnded(sid));
                 }
                 Due::Wire(part, key) => wires.push((part, key)),
             }
--- a/src/core/recover.rs
+++ b/src/core/recover.rs
@@ -5,8 +5,8 @@
 use crate::core::relay::CAUSE_CUT;
 use crate::core::{Client, Core, Due, Effect, FrontKind, HostLine, Sid, Source};
 use crate::interface::{CallId, ServerId, ServerState, Time};
-use crate::recovery::records::{Change, Found, KeptCall, KeptLine};
-use crate::recovery::{fate, Fate, Phase, Recovery, RecoveryConfig};
+use crate::recovery::records::{CallRecord, DirectoryRecord, RecordChange, Records};
+use crate::recovery::{recovered_call_state, Phase, RecoveredCallState, Recovery, RecoveryConfig};
 
 /// Whoever comes: the connections of the life before are gone.
 const NOBODY: Client = Client { front: FrontKind::JsonLines, no: u64::MAX };
@@ -15,12 +15,12 @@
 #[derive(Debug, Default)]
 pub(super) struct Returns {
     /// Changes to be kept that nobody has taken yet; `None`: nothing is kept.
-    pub(super) changes: Option<Vec<Change>>,
+    pub(super) changes: Option<Vec<RecordChange>>,
     recovery: Option<Recovery>,
     config: RecoveryConfig,
     began: Time,
     /// Calls whose call server is not listed yet.
-    unknown: BTreeMap<Sid, KeptCall>,
+    unknown: BTreeMap<Sid, CallRecord>,
     /// Calls that were taken for standing, and the birth of the call server that they stand at.
     trusted: BTreeMap<Sid, (ServerId, u64)>,
 }
@@ -37,23 +37,23 @@
     }
 
     /// What is to be kept, since it was last asked for.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn changes(&mut self) -> Vec<RecordChange> {
         self.returns.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    pub(super) fn note_change(&mut self, change: impl FnOnce() -> Change) {
+    pub(super) fn note_change(&mut self, change: impl FnOnce() -> RecordChange) {
         if let Some(changes) = &mut self.returns.changes {
             changes.push(change());
         }
     }
 
     /// Goes on after a life that left these records. To be called before anything else is handled.
-    pub fn recover(&mut self, now: Time, config: RecoveryConfig, found: &Found, out: &mut Vec<Effect>) {
+    pub fn recover(&mut self, now: Time, config: RecoveryConfig, found: &Records, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         let others = self.config.fleet.as_ref().is_some_and(|fleet| fleet.controllers > 1);
         self.returns.config = config;
         self.returns.began = self.now;
-        if *found == Found::default() {
+        if *found == Records::default() {
             return out
                 .push(Effect::Log("recovery: there are no records: this is the first start".to_owned()));
         }
@@ -61,18 +61,18 @@
         out.push(Effect::Log(format!(
             "recovery: the records hold {} calls that stood, {} releases owed, {} call servers; {} cannot be read",
             found.calls.len(),
-            found.owed.len(),
-            found.list.len(),
+            found.pending_releases.len(),
+            found.directory.len(),
             found.unreadable
         )));
-        for (sid, cause) in &found.owed {
+        for (sid, cause) in &found.pending_releases {
             self.remember(*sid);
             self.say_release(NOBODY, *sid, *cause, 0, out);
         }
         self.returns.unknown.extend(found.calls.iter().cloned());
         let mut by_source: BTreeMap<Source, Vec<HostLine>> = BTreeMap::new();
-        for kept in found.lines(self.now, config.line_age) {
-            by_source.entry(kept.source).or_default().push(kept.line.clone());
+        for kept in found.current_entries(self.now, config.max_entry_age) {
+            by_source.entry(kept.source).or_default().push(kept.entry.clone());
         }
         for (source, hosts) in by_source {
             self.news(source, false, hosts, out);
@@ -83,7 +83,7 @@
     /// Another controller has told what it sees.
     pub(super) fn others_answer(&mut self) {
         if let Some(recovery) = &mut self.returns.recovery {
-            recovery.hears();
+            recovery.record_peer_answer();
             self.deadlines.set(self.now, Due::Recovery);
         }
     }
@@ -91,7 +91,7 @@
     /// Whether a set-up that has just come is taken, as far as the recovery goes.
     pub(super) fn returned(&mut self) -> bool {
         let now = self.now;
-        self.returns.recovery.as_mut().is_none_or(|recovery| recovery.takes(now))
+        self.returns.recovery.as_mut().is_none_or(|recovery| recovery.admits(now))
     }
 
     /// Whether a reported queue tells nothing yet: the module reads it by what is usual, which nobody knows before work is
@@ -103,7 +103,7 @@
     /// What the module hears of a call server's state: one that is cold takes no calls before all others have work.
     pub(super) fn state_for_module(&self, line: &HostLine) -> ServerState {
         let cold = self.now.since(Time(line.born_ms.saturating_mul(1_000))) < self.config.settings.cold;
-        let waits = self.returns.recovery.as_ref().is_some_and(|recovery| !recovery.gives_to_cold());
+        let waits = self.returns.recovery.as_ref().is_some_and(|recovery| !recovery.allows_cold_servers());
         match line.state {
             ServerState::Ready if cold && waits => ServerState::Draining,
             state => state,
@@ -114,8 +114,8 @@
     pub(super) fn recovery_due(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(recovery) = &mut self.returns.recovery else { return };
-        let began = recovery.look(now);
-        let ends = recovery.ends();
+        let began = recovery.advance(now);
+        let ends = recovery.phase_end();
         out.extend(began.iter().map(|phase| Effect::Log(phase.to_string())));
         if began.iter().any(|b| b.phase == Phase::Serving) {
             let cold = self.servers.iter().filter(|(_, l)| l.line.state == ServerState::Ready);
@@ -126,7 +126,7 @@
         for sid in waiting {
             self.decide(sid, None, out);
         }
-        let until = self.returns.began.plus(self.returns.config.list_patience);
+        let until = self.returns.began.plus(self.returns.config.directory_timeout);
         let next = ends.into_iter().chain((!self.returns.unknown.is_empty()).then_some(until)).min();
         match next {
             Some(at) => self.deadlines.set(at.max(now), Due::Recovery),
@@ -158,8 +158,11 @@
     fn decide(&mut self, sid: Sid, listed: Option<(ServerId, u64)>, out: &mut Vec<Effect>) {
         let (config, began) = (self.returns.config, self.returns.began);
         let Some(call) = self.returns.unknown.get(&sid) else { return };
-        match (fate(&config, began, self.now, call.born_ms, listed.map(|(_, born)| born)), listed) {
-            (Fate::Stands, Some((server, born))) => {
+        match (
+            recovered_call_state(&config, began, self.now, call.started_ms, listed.map(|(_, born)| born)),
+            listed,
+        ) {
+            (RecoveredCallState::Established, Some((server, born))) => {
                 let Some(call) = self.returns.unknown.remove(&sid) else { return };
                 let (id, attempt) = (CallId(self.next_call), 0);
                 self.next_call = self.next_call.wrapping_add(1);
@@ -173,8 +176,8 @@
                     self.returns.trusted.insert(sid, (server, born));
                 }
             }
-            (Fate::Unknown(_), _) => {}
-            (Fate::Stands | Fate::Over, _) => {
+            (RecoveredCallState::Undecided(_), _) => {}
+            (RecoveredCallState::Established | RecoveredCallState::Ended, _) => {
                 let leg = self.returns.unknown.remove(&sid).is_some_and(|call| call.leg);
                 self.remember(sid);
                 if !leg {
@@ -187,7 +190,9 @@
     /// The line of a list is kept.
     pub(super) fn keep_line(&mut self, source: Source, line: &HostLine) {
         let told_ms = self.now.0 / 1_000;
-        self.note_change(|| Change::Listed(KeptLine { source, line: line.clone(), told_ms }));
+        self.note_change(|| {
+            RecordChange::ServerListed(DirectoryRecord { source, entry: line.clone(), listed_ms: told_ms })
+        });
     }
 
     /// A call that has ended needs no more trust.
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -5,7 +5,7 @@
 use crate::core::{AttemptError, Client, Core, Effect, FrontKind, Refusal, ServerSays, Sid};
 use crate::figures::Ending;
 use crate::interface::{Attempt, CallId, Cause, Event, LoadReport, Outcome, ServerId, Span};
-use crate::recovery::records::{Change, KeptCall};
+use crate::recovery::records::{CallRecord, RecordChange};
 
 /// Cause of a call that was ended by its user.
 pub const CAUSE_CLEARED: u16 = 16;
@@ -67,7 +67,12 @@
         if let Some(line) = self.servers.get(&o.server).map(|listed| &listed.line) {
             let (host, born_ms, number) = (line.host.clone(), line.born_ms, open.number.to_string());
             let (since_ms, leg) = (self.now.0 / 1_000, open.client.front == FrontKind::Iax2);
-            self.note_change(|| Change::Stands(sid, KeptCall { host, born_ms, number, since_ms, leg }));
+            self.note_change(|| {
+                RecordChange::CallEstablished(
+                    sid,
+                    CallRecord { host, started_ms: born_ms, number, since_ms, leg },
+                )
+            });
         }
         self.book.stands(sid, open.client, o.server, open.id, o.attempt, self.now);
         let (call, attempt, server) = (open.id, Attempt(o.attempt), o.server);
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -5,7 +5,7 @@
     Action, Event, ListKind, LoadField, LoadReport, Outcome, ServerEntry, ServerId, ServerState, Span, Time,
 };
 
-use crate::recovery::records::Change;
+use crate::recovery::records::RecordChange;
 
 /// A call server that has left the list is remembered this long, and for as long as calls stand there.
 const GONE: Span = Span::from_millis(20_000);
@@ -186,7 +186,7 @@
             return self.deadlines.set(self.now.plus(GONE), Due::Gone(server));
         }
         if let Some(listed) = self.servers.remove(&server) {
-            self.note_change(|| Change::Unlisted(listed.source, listed.line.host.clone()));
+            self.note_change(|| RecordChange::ServerForgotten(listed.source, listed.line.host.clone()));
             self.keys.remove(&listed.line.host);
             self.warnings.forget(server);
             self.hosts.remove(&(listed.source, listed.line.host));
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -9,7 +9,7 @@
 use super::*;
 use crate::fleet::{Fleet, FleetConfig, Key};
 use crate::interface::{Cause, Cell, ClassSettings, LoadField, ServerState, Span};
-use crate::recovery::records::{Found, KeptCall, KeptLine};
+use crate::recovery::records::{CallRecord, DirectoryRecord, Records};
 use crate::recovery::RecoveryConfig;
 
 const CLIENT: Client = Client { front: FrontKind::JsonLines, no: 1 };
@@ -750,21 +750,27 @@
 }
 
 /// What a controller kept whose call 7 stood at `s0`, of a list of a cold `s0` and a warm `s1`.
-fn records(born_ms: u64) -> Found {
-    let listed = |host: &str, cell, born| KeptLine {
+fn records(born_ms: u64) -> Records {
+    let listed = |host: &str, cell, born| DirectoryRecord {
         source: Source::Bulletin,
-        line: line(host, cell, ServerState::Ready, born),
-        told_ms: 1_000_000,
+        entry: line(host, cell, ServerState::Ready, born),
+        listed_ms: 1_000_000,
     };
-    let call = KeptCall { host: "s0".into(), born_ms, number: "7f".into(), since_ms: 999_000, leg: false };
-    Found {
+    let call = CallRecord {
+        host: "s0".into(),
+        started_ms: born_ms,
+        number: "7f".into(),
+        since_ms: 999_000,
+        leg: false,
+    };
+    Records {
         calls: vec![(Sid::numbered(7), call)],
-        list: vec![listed("s0", 0, 999_900), listed("s1", 1, 0)],
-        ..Found::default()
+        directory: vec![listed("s0", 0, 999_900), listed("s1", 1, 0)],
+        ..Records::default()
     }
 }
 
-fn came_back(found: &Found) -> (Drive, Vec<Effect>) {
+fn came_back(found: &Records) -> (Drive, Vec<Effect>) {
     let mut drive = Drive::new(0);
     drive.core.config.settings.cold = Span::from_millis(14_000);
     drive.core.config.settings.cold_share = 0.36;
@@ -816,7 +822,7 @@
     let told = drive.input(Input::List { source: Source::Bulletin, whole: false, hosts });
     assert_eq!(said(&told), stands);
     let kept = drive.core.changes();
-    assert!(kept.contains(&Change::Ends(sid)), "{kept:?}");
+    assert!(kept.contains(&RecordChange::CallEnded(sid)), "{kept:?}");
 }
 
 /// Guards against a tenant's calls that are counted as another's, or as nobody's.
--- a/src/fleet/credit_transfer.rs
+++ b/src/fleet/credit_transfer.rs
@@ -23,7 +23,7 @@
 
 /// A message of a peer about credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CreditNews {
+pub enum CreditMessage {
     /// The peer is short of permits.
     Requested {
         /// The peer.
@@ -177,14 +177,15 @@
     }
 
     /// Handles a peer's request; `sent_ms` is the timestamp of its datagram.
-    pub fn receive_request(&mut self, from: u16, sent_ms: u32, items: &[CreditItem]) -> Vec<CreditNews> {
+    pub fn receive_request(&mut self, from: u16, sent_ms: u32, items: &[CreditItem]) -> Vec<CreditMessage> {
         self.last_request_ms.insert(from, sent_ms);
-        let requested = |item: &CreditItem| CreditNews::Requested { from, key: item.key, parts: item.parts };
+        let requested =
+            |item: &CreditItem| CreditMessage::Requested { from, key: item.key, parts: item.parts };
         items.iter().map(requested).collect()
     }
 
     /// Handles a peer's grant; items that answer a request too long ago are void.
-    pub fn receive_grant(&mut self, now: Time, from: u16, items: &[CreditItem]) -> Vec<CreditNews> {
+    pub fn receive_grant(&mut self, now: Time, from: u16, items: &[CreditItem]) -> Vec<CreditMessage> {
         let mut news = Vec::new();
         for item in items {
             let since_request = Span::from_millis(u64::from(timestamp_ms(now).wrapping_sub(item.echo)));
@@ -194,7 +195,7 @@
             }
             self.counts.borrowed += u64::from(item.parts.0);
             self.last_lender = Some(from);
-            news.push(CreditNews::Granted { key: item.key, parts: item.parts });
+            news.push(CreditMessage::Granted { key: item.key, parts: item.parts });
         }
         news
     }
--- a/src/fleet/credit_transfer/tests.rs
+++ b/src/fleet/credit_transfer/tests.rs
@@ -12,7 +12,7 @@
 fn a_grant_is_void_some_time_after_the_request_however_long_it_was_in_transit() {
     let mut transfer = CreditTransfer::default();
     let grant = CreditItem { key: KEY, parts: Parts(100), echo: timestamp_ms(at(0)) };
-    let granted = [CreditNews::Granted { key: KEY, parts: Parts(100) }];
+    let granted = [CreditMessage::Granted { key: KEY, parts: Parts(100) }];
     assert_eq!(transfer.receive_grant(at(40), 1, &[grant]), granted);
     assert_eq!(transfer.receive_grant(at(149), 1, &[grant]), granted);
     assert_eq!(transfer.receive_grant(at(150), 1, &[grant]), []);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::interface::{Parts, Span, Time};
 pub use config::FleetConfig;
-use credit_transfer::{timestamp_ms, CreditNews, CreditTransfer, Urgency};
+use credit_transfer::{timestamp_ms, CreditMessage, CreditTransfer, Urgency};
 use datagram::{Body, DatagramError, Header, ObservationItem, MAX_OBSERVATIONS};
 use failure_detector::{FailureDetector, PeerChange, HEARTBEAT_INTERVAL};
 pub use observation::{Key, Observation, Severity};
@@ -41,11 +41,11 @@
 
 /// News from a peer, for the decisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum PeerUpdate {
     /// A newer observation of a call server.
     Observed(Key, Observation),
     /// Credit requested or granted.
-    Credit(CreditNews),
+    Credit(CreditMessage),
 }
 
 /// A datagram to send.
@@ -177,7 +177,7 @@
     }
 
     /// Handles a datagram of a peer; returns the news in it.
-    pub fn receive(&mut self, now: Time, from: u16, bytes: &[u8]) -> Result<Vec<News>, DatagramError> {
+    pub fn receive(&mut self, now: Time, from: u16, bytes: &[u8]) -> Result<Vec<PeerUpdate>, DatagramError> {
         let decoded = datagram::decode(bytes);
         let (header, body) = decoded.inspect_err(|_| self.counts.malformed += 1)?;
         self.counts.received += 1;
@@ -193,7 +193,7 @@
                 } else {
                     self.credit.receive_grant(now, from, &items)
                 };
-                news.into_iter().map(News::Credit).collect()
+                news.into_iter().map(PeerUpdate::Credit).collect()
             }
             Body::Observations(items) => {
                 if header.is_request {
@@ -219,7 +219,7 @@
     }
 
     /// Merges a received observation that was in transit for `transit`; returns it if it is news.
-    fn merge(&mut self, now: Time, transit: Span, item: &ObservationItem) -> Option<News> {
+    fn merge(&mut self, now: Time, transit: Span, item: &ObservationItem) -> Option<PeerUpdate> {
         let age = item.age.0.saturating_add(transit.0);
         let observation = Observation {
             wait: item.wait,
@@ -238,7 +238,7 @@
             return None;
         }
         self.publish(item.key, observation, severity_change(known, &observation));
-        Some(News::Observed(item.key, observation))
+        Some(PeerUpdate::Observed(item.key, observation))
     }
 
     /// When [`Fleet::poll`] is to be called next.
--- a/src/fleet/warnings.rs
+++ b/src/fleet/warnings.rs
@@ -24,7 +24,7 @@
 
 /// Result of an expiry check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expiry {
+pub enum WarningExpiry {
     /// The warning has expired and was removed.
     Expired,
     /// The warning is active and expires at this time.
@@ -87,13 +87,13 @@
     }
 
     /// Removes the warning if it has expired; `None`: there is none.
-    pub fn check_expiry(&mut self, now: Time, server: ServerId) -> Option<Expiry> {
+    pub fn check_expiry(&mut self, now: Time, server: ServerId) -> Option<WarningExpiry> {
         let expires_at = self.active.get(&server)?.expires_at;
         if now < expires_at {
-            return Some(Expiry::ActiveUntil(expires_at));
+            return Some(WarningExpiry::ActiveUntil(expires_at));
         }
         self.active.remove(&server);
-        Some(Expiry::Expired)
+        Some(WarningExpiry::Expired)
     }
 
     /// Whether a warning keeps new calls away from a call server.
--- a/src/fleet/warnings/tests.rs
+++ b/src/fleet/warnings/tests.rs
@@ -41,8 +41,8 @@
         warnings.record_peer_listing(at(4_100), S, ServerState::Draining, at(4_000)),
         WarningChange::Unchanged
     );
-    assert_eq!(warnings.check_expiry(at(10_100), S), Some(Expiry::ActiveUntil(at(14_100))));
-    assert_eq!(warnings.check_expiry(at(14_100), S), Some(Expiry::Expired));
+    assert_eq!(warnings.check_expiry(at(10_100), S), Some(WarningExpiry::ActiveUntil(at(14_100))));
+    assert_eq!(warnings.check_expiry(at(14_100), S), Some(WarningExpiry::Expired));
     assert!(!warnings.is_active(S));
 }
 
--- a/src/instance/keep.rs
+++ b/src/instance/keep.rs
@@ -11,7 +11,7 @@
 use lockpoint_store::{Batch, Durability, Store, StoreError};
 
 use crate::instance::{Instance, State};
-use crate::recovery::records::{Change, Found};
+use crate::recovery::records::{RecordChange, Records};
 use crate::recovery::RecoveryConfig;
 
 /// Groups of changes that may wait for the disk. More: the disk hangs, and memory must not follow it.
@@ -38,10 +38,10 @@
 /// The thread that writes.
 #[derive(Debug)]
 pub(super) struct Keeper {
-    changes: Option<SyncSender<Vec<Change>>>,
+    changes: Option<SyncSender<Vec<RecordChange>>>,
     writing: Option<JoinHandle<()>>,
     told: Arc<Told>,
-    found: Option<Found>,
+    found: Option<Records>,
 }
 
 impl Keeper {
@@ -49,7 +49,7 @@
     pub(super) fn open(config: &StoreConfig) -> Result<Keeper, StoreError> {
         let store = Store::open(&config.file)?;
         let items = store.scan(b"")?;
-        let found = Found::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice())));
+        let found = Records::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice())));
         let (changes, waiting) = sync_channel(MOST_WAITING);
         let told = Arc::new(Told::default());
         let (file, gather, tells) = (config.file.clone(), config.gather, told.clone());
@@ -60,7 +60,7 @@
         Ok(Keeper { changes: Some(changes), writing: Some(writing), told, found: Some(found) })
     }
 
-    fn write(&mut self, changes: Vec<Change>) {
+    fn write(&mut self, changes: Vec<RecordChange>) {
         let Some(sender) = &self.changes else { return };
         if sender.try_send(changes).is_err() {
             // The thread has ended, and said why; or the disk hangs.
@@ -95,15 +95,21 @@
     }
 }
 
-fn write(mut store: Store, file: &Path, gather: Duration, waiting: &Receiver<Vec<Change>>, told: &Told) {
+fn write(
+    mut store: Store,
+    file: &Path,
+    gather: Duration,
+    waiting: &Receiver<Vec<RecordChange>>,
+    told: &Told,
+) {
     while let Ok(first) = waiting.recv() {
         if gather > Duration::ZERO {
             std::thread::sleep(gather);
         }
         let mut batch = Batch::default();
-        let mut put = |changes: Vec<Change>| {
+        let mut put = |changes: Vec<RecordChange>| {
             told.changes.fetch_add(changes.len() as u64, Ordering::Relaxed);
-            for (key, value) in changes.iter().map(Change::encoded) {
+            for (key, value) in changes.iter().map(RecordChange::encoded) {
                 match value {
                     Some(value) => batch.put(&key, &value),
                     None => batch.remove(&key),
@@ -140,7 +146,7 @@
         self.turn(|state, todo| {
             let Some(found) = state.keeper.as_mut().and_then(|keeper| keeper.found.take()) else { return };
             let release = state.core.release();
-            let config = RecoveryConfig { release, ..RecoveryConfig::default() };
+            let config = RecoveryConfig { resend_delay: release, ..RecoveryConfig::default() };
             let mut effects = Vec::new();
             state.core.keep();
             state.core.recover(now, config, &found, &mut effects);
--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -14,29 +14,29 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecoveryConfig {
     /// After an attempt that may have been out nothing may go for its call for so long.
-    pub release: Span,
+    pub resend_delay: Span,
     /// The others are waited for this long; they answer within two ways and a round.
-    pub ask: Span,
-    /// The time in which work rises from `first_share` to all of it, where nobody else was at work.
-    pub rise: Span,
+    pub peer_query_timeout: Span,
+    /// The time in which work rises from `initial_share` to all of it, where nobody else was at work.
+    pub ramp_up: Span,
     /// The share of the set-ups that is taken first.
-    pub first_share: f64,
+    pub initial_share: f64,
     /// A call of the records whose call server is not listed by then is over, as far as anybody can know: the release
     /// that it is owed must be said within 8 s.
-    pub list_patience: Span,
+    pub directory_timeout: Span,
     /// A line of the list older than this says nothing of who is ready; that a call server drained or had gone counts on.
-    pub line_age: Span,
+    pub max_entry_age: Span,
 }
 
 impl Default for RecoveryConfig {
     fn default() -> Self {
         Self {
-            release: Span::from_millis(500),
-            ask: Span::from_millis(300),
-            rise: Span::from_millis(3_000),
-            first_share: 0.25,
-            list_patience: Span::from_millis(6_000),
-            line_age: Span::from_millis(600_000),
+            resend_delay: Span::from_millis(500),
+            peer_query_timeout: Span::from_millis(300),
+            ramp_up: Span::from_millis(3_000),
+            initial_share: 0.25,
+            directory_timeout: Span::from_millis(6_000),
+            max_entry_age: Span::from_millis(600_000),
         }
     }
 }
@@ -45,18 +45,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// The others are asked; nothing is taken.
-    Asking,
+    QueryingPeers,
     /// What the life before may have had out is waited for; nothing is taken.
-    Holding,
+    WaitingForAttempts,
     /// Work comes at a rising rate; cold call servers get none.
-    Rising,
+    RampingUp,
     /// Full service.
     Serving,
 }
 
 /// A phase has begun: for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Began {
+pub struct PhaseStart {
     /// Which.
     pub phase: Phase,
     /// So long after the start.
@@ -65,14 +65,14 @@
     pub answered: bool,
 }
 
-impl std::fmt::Display for Began {
+impl std::fmt::Display for PhaseStart {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let ms = self.after.0 / 1_000;
         let what = match (self.phase, self.answered) {
-            (Phase::Asking, _) => "the others are asked",
-            (Phase::Holding, true) => "another controller has answered; no set-up leaves yet",
-            (Phase::Holding, false) => "nobody answers; no set-up leaves yet",
-            (Phase::Rising, _) => "work comes at a rising rate",
+            (Phase::QueryingPeers, _) => "the others are asked",
+            (Phase::WaitingForAttempts, true) => "another controller has answered; no set-up leaves yet",
+            (Phase::WaitingForAttempts, false) => "nobody answers; no set-up leaves yet",
+            (Phase::RampingUp, _) => "work comes at a rising rate",
             (Phase::Serving, _) => "full service, cold call servers too",
         };
         write!(f, "recovery: {ms} ms after the start: {what}")
@@ -97,7 +97,15 @@
 impl Recovery {
     /// Begins at the start of the process; `others`: there are other controllers to ask.
     pub fn new(config: RecoveryConfig, began: Time, others: bool) -> Recovery {
-        Recovery { config, began, phase: Phase::Asking, since: began, others, answered: false, credit: 0.0 }
+        Recovery {
+            config,
+            began,
+            phase: Phase::QueryingPeers,
+            since: began,
+            others,
+            answered: false,
+            credit: 0.0,
+        }
     }
 
     /// Where it stands.
@@ -106,47 +114,47 @@
     }
 
     /// Another controller has told what it sees: it was at work while this one was not.
-    pub fn hears(&mut self) {
+    pub fn record_peer_answer(&mut self) {
         self.answered = true;
     }
 
     /// What has begun by `now`, in order.
-    pub fn look(&mut self, now: Time) -> Vec<Began> {
+    pub fn advance(&mut self, now: Time) -> Vec<PhaseStart> {
         let mut began = Vec::new();
-        while let Some(at) = self.ends().filter(|at| *at <= now) {
+        while let Some(at) = self.phase_end().filter(|at| *at <= now) {
             let (phase, since) = match self.phase {
-                Phase::Asking => (Phase::Holding, at),
-                Phase::Holding if self.answered => (Phase::Serving, at),
-                Phase::Holding => (Phase::Rising, at),
-                Phase::Rising | Phase::Serving => (Phase::Serving, at),
+                Phase::QueryingPeers => (Phase::WaitingForAttempts, at),
+                Phase::WaitingForAttempts if self.answered => (Phase::Serving, at),
+                Phase::WaitingForAttempts => (Phase::RampingUp, at),
+                Phase::RampingUp | Phase::Serving => (Phase::Serving, at),
             };
             // A process that stood still goes on from when it woke, not from when the phase should have begun.
             (self.phase, self.since) = (phase, since.max(self.began));
             let after = now.since(self.began);
-            began.push(Began { phase, after, answered: self.answered });
+            began.push(PhaseStart { phase, after, answered: self.answered });
         }
         began
     }
 
     /// When the phase ends; `None`: it lasts.
-    pub fn ends(&self) -> Option<Time> {
+    pub fn phase_end(&self) -> Option<Time> {
         match self.phase {
-            Phase::Asking if self.answered || !self.others => Some(self.since),
-            Phase::Asking => Some(self.began.plus(self.config.ask)),
-            Phase::Holding => Some(self.began.plus(self.config.release).max(self.since)),
-            Phase::Rising => Some(self.since.plus(self.config.rise)),
+            Phase::QueryingPeers if self.answered || !self.others => Some(self.since),
+            Phase::QueryingPeers => Some(self.began.plus(self.config.peer_query_timeout)),
+            Phase::WaitingForAttempts => Some(self.began.plus(self.config.resend_delay).max(self.since)),
+            Phase::RampingUp => Some(self.since.plus(self.config.ramp_up)),
             Phase::Serving => None,
         }
     }
 
     /// Whether a set-up that has just come is taken. While work rises, so many of all are that each in turn has its
     /// chance.
-    pub fn takes(&mut self, now: Time) -> bool {
+    pub fn admits(&mut self, now: Time) -> bool {
         match self.phase {
-            Phase::Asking | Phase::Holding => false,
-            Phase::Rising => {
-                let first = self.config.first_share.clamp(0.0, 1.0);
-                let risen = now.since(self.since).between(Span::default(), self.config.rise);
+            Phase::QueryingPeers | Phase::WaitingForAttempts => false,
+            Phase::RampingUp => {
+                let first = self.config.initial_share.clamp(0.0, 1.0);
+                let risen = now.since(self.since).between(Span::default(), self.config.ramp_up);
                 self.credit += first + (1.0 - first) * risen;
                 let taken = self.credit >= 1.0;
                 self.credit -= f64::from(u8::from(taken));
@@ -157,33 +165,39 @@
     }
 
     /// Whether a call server that is cold is given work.
-    pub fn gives_to_cold(&self) -> bool {
+    pub fn allows_cold_servers(&self) -> bool {
         self.phase == Phase::Serving
     }
 }
 
 /// What is done with a call that the records say stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RecoveredCallState {
     /// Trusted: its call server is the one it was; the call stands until that says otherwise, dies or is silent.
-    Stands,
+    Established,
     /// Its call server has started anew, or nobody lists it: the call is over, and its caller is owed the release.
-    Over,
+    Ended,
     /// Its call server is not listed yet: the list is waited for until then.
-    Unknown(Time),
+    Undecided(Time),
 }
 
 /// The fate of a call that the records say stands at a call server born at `born_ms`, where a list (the records' own at
 /// first, then the directories') says that the one of this name was born at `listed`, and the process began at `began`.
 /// What else a list says does not matter: it is seconds late and may be wrong, and a call at a call server that drains or
 /// is listed as gone ends when that says so, dies or is silent, as for a controller that was at work all the while.
-pub fn fate(config: &RecoveryConfig, began: Time, now: Time, born_ms: u64, listed: Option<u64>) -> Fate {
-    let until = began.plus(config.list_patience);
+pub fn recovered_call_state(
+    config: &RecoveryConfig,
+    began: Time,
+    now: Time,
+    born_ms: u64,
+    listed: Option<u64>,
+) -> RecoveredCallState {
+    let until = began.plus(config.directory_timeout);
     match listed {
-        Some(born) if born != born_ms => Fate::Over,
-        Some(_) => Fate::Stands,
-        None if now < until => Fate::Unknown(until),
-        None => Fate::Over,
+        Some(born) if born != born_ms => RecoveredCallState::Ended,
+        Some(_) => RecoveredCallState::Established,
+        None if now < until => RecoveredCallState::Undecided(until),
+        None => RecoveredCallState::Ended,
     }
 }
 
@@ -203,17 +217,17 @@
         let mut seen = Vec::new();
         for ms in (0..10_000).step_by(10) {
             if answer_at == Some(ms) {
-                recovery.hears();
+                recovery.record_peer_answer();
             }
-            seen.extend(recovery.look(at(ms)).into_iter().map(|b| (b.after.0 / 1_000, b.phase)));
-            assert_eq!(recovery.phase() < Phase::Rising, !recovery.takes(at(ms)) && ms < 500, "{ms}");
+            seen.extend(recovery.advance(at(ms)).into_iter().map(|b| (b.after.0 / 1_000, b.phase)));
+            assert_eq!(recovery.phase() < Phase::RampingUp, !recovery.admits(at(ms)) && ms < 500, "{ms}");
         }
         seen
     }
 
     #[test]
     fn service_returns_in_order_and_at_once_where_the_fleet_is_at_work() {
-        let (holding, rising, serving) = (Phase::Holding, Phase::Rising, Phase::Serving);
+        let (holding, rising, serving) = (Phase::WaitingForAttempts, Phase::RampingUp, Phase::Serving);
         assert_eq!(phases(false, None), [(0, holding), (500, rising), (3_500, serving)]);
         assert_eq!(phases(true, None), [(300, holding), (500, rising), (3_500, serving)]);
         assert_eq!(phases(true, Some(40)), [(40, holding), (500, serving)]);
@@ -228,8 +242,8 @@
         for second in 0..4u64 {
             let mut count = 0;
             for ms in 0..1_000 {
-                recovery.look(at(500 + second * 1_000 + ms));
-                count += u32::from(recovery.takes(at(500 + second * 1_000 + ms)));
+                recovery.advance(at(500 + second * 1_000 + ms));
+                count += u32::from(recovery.admits(at(500 + second * 1_000 + ms)));
             }
             taken.push(count);
         }
@@ -242,21 +256,21 @@
     #[test]
     fn one_that_stood_still_right_after_its_start_does_not_skip_the_rise() {
         let mut recovery = Recovery::new(RecoveryConfig::default(), at(0), true);
-        let began = recovery.look(at(9_000));
+        let began = recovery.advance(at(9_000));
         assert_eq!(began.last().map(|b| b.phase), Some(Phase::Serving));
-        assert!(recovery.takes(at(9_000)), "nine seconds are enough for all that was out");
+        assert!(recovery.admits(at(9_000)), "nine seconds are enough for all that was out");
     }
 
     #[rstest]
-    #[case::the_same(Some(7), 100, Fate::Stands)]
-    #[case::started_anew(Some(8), 100, Fate::Over)]
-    #[case::not_listed_yet(None, 100, Fate::Unknown(at(6_000)))]
-    #[case::not_listed_for_long(None, 6_000, Fate::Over)]
+    #[case::the_same(Some(7), 100, RecoveredCallState::Established)]
+    #[case::started_anew(Some(8), 100, RecoveredCallState::Ended)]
+    #[case::not_listed_yet(None, 100, RecoveredCallState::Undecided(at(6_000)))]
+    #[case::not_listed_for_long(None, 6_000, RecoveredCallState::Ended)]
     fn what_becomes_of_a_call_that_stood(
         #[case] listed: Option<u64>,
         #[case] now: u64,
-        #[case] wanted: Fate,
+        #[case] wanted: RecoveredCallState,
     ) {
-        assert_eq!(fate(&RecoveryConfig::default(), at(0), at(now), 7, listed), wanted);
+        assert_eq!(recovered_call_state(&RecoveryConfig::default(), at(0), at(now), 7, listed), wanted);
     }
 }
--- a/src/recovery/records.rs
+++ b/src/recovery/records.rs
@@ -11,11 +11,12 @@
 
 /// A call that stands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptCall {
+pub struct CallRecord {
     /// The call server's host name.
     pub host: String,
     /// When that call server had started, as the list said; in Unix milliseconds, 0 for long past.
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
     /// The number called, which a release from this side names.
     pub number: String,
     /// Since when it stands, in Unix milliseconds.
@@ -27,34 +28,36 @@
 /// What is kept of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum Kept {
-    Stands(KeptCall),
+    Stands(CallRecord),
     Owed(u16),
 }
 
 /// A line of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct KeptLine {
+pub struct DirectoryRecord {
     /// Who told it.
     pub source: Source,
     /// The line.
-    pub line: HostLine,
+    #[serde(rename = "line")]
+    pub entry: HostLine,
     /// When it was told, in Unix milliseconds.
-    pub told_ms: u64,
+    #[serde(rename = "told_ms")]
+    pub listed_ms: u64,
 }
 
 /// A change of what is kept.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
+pub enum RecordChange {
     /// A call stands.
-    Stands(Sid, KeptCall),
+    CallEstablished(Sid, CallRecord),
     /// A call is over, and its caller is owed the release, with this cause: nobody is there to hear it.
-    Owes(Sid, u16),
+    ReleasePending(Sid, u16),
     /// A call is over, and its release is on its way or given up.
-    Ends(Sid),
+    CallEnded(Sid),
     /// The list says something of a call server.
-    Listed(KeptLine),
+    ServerListed(DirectoryRecord),
     /// A call server is forgotten.
-    Unlisted(Source, String),
+    ServerForgotten(Source, String),
 }
 
 fn call_key(sid: Sid) -> Vec<u8> {
@@ -70,47 +73,51 @@
     [LIST, source.as_bytes(), host.as_bytes()].concat()
 }
 
-impl Change {
+impl RecordChange {
     /// The key that changes, and its new value; `None`: it has none any more.
     pub fn encoded(&self) -> (Vec<u8>, Option<Vec<u8>>) {
         match self {
-            Change::Stands(sid, call) => {
+            RecordChange::CallEstablished(sid, call) => {
                 (call_key(*sid), rmp_serde::to_vec(&Kept::Stands(call.clone())).ok())
             }
-            Change::Owes(sid, cause) => (call_key(*sid), rmp_serde::to_vec(&Kept::Owed(*cause)).ok()),
-            Change::Ends(sid) => (call_key(*sid), None),
-            Change::Listed(kept) => (line_key(kept.source, &kept.line.host), rmp_serde::to_vec(kept).ok()),
-            Change::Unlisted(source, host) => (line_key(*source, host), None),
+            RecordChange::ReleasePending(sid, cause) => {
+                (call_key(*sid), rmp_serde::to_vec(&Kept::Owed(*cause)).ok())
+            }
+            RecordChange::CallEnded(sid) => (call_key(*sid), None),
+            RecordChange::ServerListed(kept) => {
+                (line_key(kept.source, &kept.entry.host), rmp_serde::to_vec(kept).ok())
+            }
+            RecordChange::ServerForgotten(source, host) => (line_key(*source, host), None),
         }
     }
 }
 
 /// What the records hold.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Found {
+pub struct Records {
     /// Calls that stood.
-    pub calls: Vec<(Sid, KeptCall)>,
+    pub calls: Vec<(Sid, CallRecord)>,
     /// Releases that callers were owed, with their causes.
-    pub owed: Vec<(Sid, u16)>,
+    pub pending_releases: Vec<(Sid, u16)>,
     /// The list as last told.
-    pub list: Vec<KeptLine>,
+    pub directory: Vec<DirectoryRecord>,
     /// Records that cannot be read.
     pub unreadable: usize,
 }
 
-impl Found {
+impl Records {
     /// Reads the items of a store.
-    pub fn read<'a>(items: impl IntoIterator<Item = (&'a [u8], &'a [u8])>) -> Found {
-        let mut found = Found::default();
+    pub fn read<'a>(items: impl IntoIterator<Item = (&'a [u8], &'a [u8])>) -> Records {
+        let mut found = Records::default();
         for (key, value) in items {
             let read = if let Some(sid) = key.strip_prefix(CALL) {
                 let sid = std::str::from_utf8(sid).ok().and_then(Sid::parse);
                 sid.zip(rmp_serde::from_slice(value).ok()).map(|(sid, kept)| match kept {
                     Kept::Stands(call) => found.calls.push((sid, call)),
-                    Kept::Owed(cause) => found.owed.push((sid, cause)),
+                    Kept::Owed(cause) => found.pending_releases.push((sid, cause)),
                 })
             } else if key.starts_with(LIST) {
-                rmp_serde::from_slice(value).ok().map(|kept| found.list.push(kept))
+                rmp_serde::from_slice(value).ok().map(|kept| found.directory.push(kept))
             } else {
                 None
             };
@@ -120,12 +127,13 @@
     }
 
     /// The lines that still count at `now`: a `ready` older than `age` says nothing.
-    pub fn lines(&self, now: Time, age: Span) -> impl Iterator<Item = &KeptLine> {
+    pub fn current_entries(&self, now: Time, age: Span) -> impl Iterator<Item = &DirectoryRecord> {
         use crate::interface::ServerState;
-        let fresh = move |kept: &&KeptLine| {
-            kept.line.state != ServerState::Ready || now.since(Time(kept.told_ms.saturating_mul(1_000))) < age
+        let fresh = move |kept: &&DirectoryRecord| {
+            kept.entry.state != ServerState::Ready
+                || now.since(Time(kept.listed_ms.saturating_mul(1_000))) < age
         };
-        self.list.iter().filter(fresh)
+        self.directory.iter().filter(fresh)
     }
 }
 
@@ -139,7 +147,7 @@
     use crate::core::Protocol;
     use crate::interface::{Cell, ServerState};
 
-    fn line(host: &str, state: ServerState, told_ms: u64) -> KeptLine {
+    fn line(host: &str, state: ServerState, told_ms: u64) -> DirectoryRecord {
         let dial = SocketAddr::from(([127, 0, 0, 1], 7000));
         let line = HostLine {
             host: host.to_owned(),
@@ -150,35 +158,35 @@
             born_ms: 5,
             state,
         };
-        KeptLine { source: Source::Bulletin, line, told_ms }
+        DirectoryRecord { source: Source::Bulletin, entry: line, listed_ms: told_ms }
     }
 
     #[test]
     fn what_is_kept_is_found_again_and_what_has_ended_is_not() {
         let call =
-            KeptCall { host: "s0".into(), born_ms: 9, number: "7f".into(), since_ms: 1_000, leg: false };
+            CallRecord { host: "s0".into(), started_ms: 9, number: "7f".into(), since_ms: 1_000, leg: false };
         let (one, other, third) = (Sid::numbered(1), Sid::numbered(2), Sid::numbered(3));
         let kept = line("s0", ServerState::Ready, 77);
         let changes = [
-            Change::Stands(one, call.clone()),
-            Change::Stands(other, call.clone()),
-            Change::Ends(other),
-            Change::Stands(third, call.clone()),
-            Change::Owes(third, 41),
-            Change::Listed(line("s1", ServerState::Ready, 5)),
-            Change::Listed(kept.clone()),
-            Change::Unlisted(Source::Bulletin, "s1".into()),
+            RecordChange::CallEstablished(one, call.clone()),
+            RecordChange::CallEstablished(other, call.clone()),
+            RecordChange::CallEnded(other),
+            RecordChange::CallEstablished(third, call.clone()),
+            RecordChange::ReleasePending(third, 41),
+            RecordChange::ServerListed(line("s1", ServerState::Ready, 5)),
+            RecordChange::ServerListed(kept.clone()),
+            RecordChange::ServerForgotten(Source::Bulletin, "s1".into()),
         ];
         let mut items = std::collections::BTreeMap::new();
-        for (key, value) in changes.iter().map(Change::encoded) {
+        for (key, value) in changes.iter().map(RecordChange::encoded) {
             match value {
                 Some(value) => drop(items.insert(key, value)),
                 None => drop(items.remove(&key)),
             }
         }
-        let found = Found::read(items.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
+        let found = Records::read(items.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
         let (calls, owed, list) = (vec![(one, call)], vec![(third, 41)], vec![kept]);
-        assert_eq!(found, Found { calls, owed, list, unreadable: 0 });
+        assert_eq!(found, Records { calls, pending_releases: owed, directory: list, unreadable: 0 });
     }
 
     #[test]
@@ -188,10 +196,10 @@
             line("new", ServerState::Ready, 90_000),
             line("drains", ServerState::Draining, 1_000),
         ];
-        let found = Found { list, ..Found::default() };
+        let found = Records { directory: list, ..Records::default() };
         let hosts: Vec<&str> = found
-            .lines(Time(100_000_000), Span::from_millis(60_000))
-            .map(|kept| kept.line.host.as_str())
+            .current_entries(Time(100_000_000), Span::from_millis(60_000))
+            .map(|kept| kept.entry.host.as_str())
             .collect();
         assert_eq!(hosts, ["new", "drains"]);
     }
@@ -204,8 +212,8 @@
                 ([begins, key].concat(), value)
             });
             let keyed: Vec<(Vec<u8>, &Vec<u8>)> = keys.collect();
-            let found = Found::read(keyed.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
-            prop_assert_eq!(found.calls.len() + found.owed.len() + found.list.len() + found.unreadable, items.len());
+            let found = Records::read(keyed.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
+            prop_assert_eq!(found.calls.len() + found.pending_releases.len() + found.directory.len() + found.unreadable, items.len());
         }
     }
 }
