--- a/src/fleet/config.rs
+++ b/src/fleet/config.rs
@@ -2,10 +2,10 @@
 
 use crate::interface::Span;
 
-/// Gossip rounds added to the expected number, for peers that the random choice of recipients missed.
+/// Gossip rounds added to the expected number, to reach peers missed by the random choice of recipients.
 const EXTRA_ROUNDS: u8 = 2;
 
-/// How one controller takes part in the fleet.
+/// Configuration of one controller's membership in the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetConfig {
     /// Index of this controller among all controllers.
@@ -18,20 +18,20 @@
     pub seed: u64,
     /// Recipients of each gossip round.
     pub fanout: u16,
-    /// Time between two gossip rounds while there is news.
+    /// Time between two gossip rounds while there are updates to forward.
     pub round: Span,
-    /// Limit on the bytes sent per second, averaged; one second's worth may be sent as a burst.
+    /// Limit on the average number of bytes sent per second; one second's worth may be sent as a burst.
     pub max_bytes_per_second: u32,
-    /// An unchanged observation is sent again after this time, if the call server was observed again.
+    /// Time after which an unchanged observation is published again, if the call server was observed again.
     pub refresh_interval: Span,
-    /// Mean time between two anti-entropy exchanges: one random peer gets the latest observations and is asked for
-    /// those it has newer.
+    /// Mean time between two anti-entropy exchanges, in each of which one random peer is sent the latest observations
+    /// and asked for newer ones.
     pub anti_entropy_interval: Span,
     /// Age from which an observation is ignored.
     pub max_age: Span,
-    /// Upper bound on the smallest one-way latency between two controllers. Added to the age of everything received,
-    /// since clocks are not compared. If it is set too low, an observation that is passed in a circle looks younger
-    /// each time.
+    /// Upper bound on the smallest one-way latency between two controllers. It is added to the age of every received
+    /// observation, since clocks are not compared. If it is set too low, an observation that is forwarded in a circle
+    /// appears younger each time.
     pub min_latency: Span,
 }
 
@@ -56,7 +56,7 @@
 impl FleetConfig {
     /// Number of rounds in which an observation is forwarded. With `n` controllers and fan-out `f` the number of
     /// informed controllers grows by a factor of up to `1 + f` per round, so `log(n) / log(1 + f)` rounds reach all but
-    /// those that the random choice missed; two more rounds leave fewer than one in e^(2f) of them uninformed.
+    /// those missed by the random choice; two more rounds leave fewer than one in e^(2f) of them uninformed.
     pub fn gossip_rounds(&self) -> u8 {
         let growth = f64::from(self.fanout.max(1)) + 1.0;
         let expected = f64::from(self.controllers.max(2)).ln() / growth.ln();
--- a/src/fleet/credit_transfer.rs
+++ b/src/fleet/credit_transfer.rs
@@ -1,9 +1,9 @@
 //! Transfer of permits for a cold call server between controllers.
 //!
-//! A controller that is short of permits asks a few peers at once, among them the one that last granted any. Each peer
-//! grants what it can spare. A grant counts only for a short time after the request, measured by the requester's own
-//! clock: credit that was delayed for long, in the network or by a suspended process, is void and cannot reach a call
-//! server that is still cold.
+//! A controller that is short of permits sends a request to a few peers at once, among them the one that last granted
+//! any. Each peer grants what it can spare. A grant is valid only for a short time after the request, measured by the
+//! requester's own clock. Credit delayed for longer, in the network or by a suspended process, is discarded, so that it
+//! cannot add to the load of a call server that is still cold.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,18 @@
 use super::observation::Key;
 use crate::interface::{Parts, Span, Time};
 
-/// Time after a request within which a grant counts. Longer: more credit may be in transit at once
-/// ([`max_consumed_within`](super::token_bucket::max_consumed_within)). Shorter: grants of distant peers arrive too late.
+/// Time after a request within which a grant is valid. With a longer time more credit may be in transit at once
+/// ([`max_consumed_within`](super::token_bucket::max_consumed_within)); with a shorter one grants of distant peers
+/// arrive too late.
 pub const REQUEST_TTL: Span = Span::from_millis(150);
-/// Peers asked at once. More: credit lies idle at the requester. Fewer: it may find none.
+/// Number of peers asked at once. With more, credit lies idle at the requester; with fewer, it may find none to lend.
 const REQUEST_FANOUT: u16 = 2;
-/// Random draws per peer to be asked; a draw may name the same peer again.
+/// Random draws per recipient; a draw may yield a peer that was chosen already.
 const DRAWS_PER_PEER: u16 = 4;
-/// A smaller grant is not worth a datagram.
+/// Smallest grant that is sent; a smaller one is not worth a datagram.
 const MIN_GRANT: Parts = Parts(8);
 
-/// A message of a peer about credit.
+/// A peer's message about credit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CreditMessage {
     /// The peer is short of permits.
@@ -49,20 +50,20 @@
     pub lent: u64,
     /// Borrowed in time.
     pub borrowed: u64,
-    /// Granted by peers, but received too late to count.
+    /// Granted by peers, but received after it had expired.
     pub too_late: u64,
 }
 
 /// When pending messages have to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// At once: a grant counts only for a short time.
+    /// At once: a grant is valid only for a short time.
     Immediate,
     /// In the next gossip round.
     NextRound,
 }
 
-/// A request that is to be sent.
+/// A credit request to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CreditRequest {
     /// The peers to ask.
@@ -71,23 +72,23 @@
     pub items: Vec<CreditItem>,
 }
 
-/// A grant that is to be sent.
+/// A credit grant to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CreditGrant {
-    /// The peer that asked for it.
+    /// The peer that requested it.
     pub to: u16,
     /// The credit granted.
     pub items: Vec<CreditItem>,
 }
 
-/// A shortfall that peers have not been asked to cover yet.
+/// A shortage of permits that has not been sent to peers as a request yet.
 #[derive(Debug)]
 struct Shortfall {
     parts: Parts,
     expires_at: Time,
 }
 
-/// Credit taken off here for a peer and not sent yet.
+/// Credit deducted from this controller's bucket for a peer and not sent yet.
 #[derive(Debug, Default)]
 struct PendingGrant {
     /// Timestamp of the request that it answers.
@@ -102,7 +103,7 @@
     pending_grants: BTreeMap<u16, PendingGrant>,
     /// Timestamp of each peer's latest request.
     last_request_ms: BTreeMap<u16, u32>,
-    /// The peer that granted credit last; it is asked first the next time.
+    /// The peer that granted credit last; the next request is sent to it first.
     last_lender: Option<u16>,
     /// Counters.
     pub counts: CreditCounts,
@@ -114,7 +115,8 @@
         self.shortfalls.insert(key, Shortfall { parts, expires_at: now.plus(REQUEST_TTL) });
     }
 
-    /// Notes credit that was taken off here for a peer. Dropped if the peer has not asked, or if it is too little.
+    /// Adds credit that was deducted from this controller's bucket for a peer. The credit is dropped if the peer has
+    /// not requested any, or if it is less than the smallest grant.
     pub fn grant(&mut self, to: u16, key: Key, parts: Parts) {
         let Some(request_ms) = self.last_request_ms.get(&to).copied() else { return };
         if parts < MIN_GRANT {
@@ -126,7 +128,7 @@
         pending.credit.push((key, parts));
     }
 
-    /// How urgently something has to be sent; `None`: nothing has.
+    /// How urgently messages have to be sent; `None` if there are none.
     pub fn urgency(&self) -> Option<Urgency> {
         match (self.pending_grants.is_empty(), self.shortfalls.is_empty()) {
             (false, _) => Some(Urgency::Immediate),
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Takes the grants that are to be sent now.
+    /// Takes the grants to send now.
     pub fn take_grants(&mut self) -> impl Iterator<Item = CreditGrant> {
         std::mem::take(&mut self.pending_grants).into_iter().map(|(to, pending)| {
             let echo = pending.request_ms;
@@ -144,7 +146,7 @@
         })
     }
 
-    /// Takes the request that is to be sent now, if any; `draw` picks a random peer out of `peers`.
+    /// Takes the request to send now, if any; `draw` picks a random peer out of `peers`.
     pub fn take_request(
         &mut self,
         now: Time,
@@ -184,9 +186,9 @@
         items.iter().map(requested).collect()
     }
 
-    /// Handles a peer's grant; items that answer a request too long ago are void.
+    /// Handles a peer's grant; items that answer a request older than [`REQUEST_TTL`] are discarded.
     pub fn receive_grant(&mut self, now: Time, from: u16, items: &[CreditItem]) -> Vec<CreditMessage> {
-        let mut news = Vec::new();
+        let mut granted = Vec::new();
         for item in items {
             let since_request = Span::from_millis(u64::from(timestamp_ms(now).wrapping_sub(item.echo)));
             if since_request >= REQUEST_TTL {
@@ -195,13 +197,13 @@
             }
             self.counts.borrowed += u64::from(item.parts.0);
             self.last_lender = Some(from);
-            news.push(CreditMessage::Granted { key: item.key, parts: item.parts });
+            granted.push(CreditMessage::Granted { key: item.key, parts: item.parts });
         }
-        news
+        granted
     }
 }
 
-/// The timestamp that a datagram sent at `now` carries: milliseconds, lowest 32 bits.
+/// The timestamp in a datagram sent at `now`: milliseconds, lowest 32 bits.
 pub fn timestamp_ms(now: Time) -> u32 {
     (now.0 / 1_000) as u32
 }
--- a/src/fleet/credit_transfer/tests.rs
+++ b/src/fleet/credit_transfer/tests.rs
@@ -9,14 +9,14 @@
 }
 
 #[test]
-fn a_grant_is_void_some_time_after_the_request_however_long_it_was_in_transit() {
+fn a_grant_expires_at_a_fixed_time_after_the_request() {
     let mut transfer = CreditTransfer::default();
     let grant = CreditItem { key: KEY, parts: Parts(100), echo: timestamp_ms(at(0)) };
     let granted = [CreditMessage::Granted { key: KEY, parts: Parts(100) }];
     assert_eq!(transfer.receive_grant(at(40), 1, &[grant]), granted);
     assert_eq!(transfer.receive_grant(at(149), 1, &[grant]), granted);
     assert_eq!(transfer.receive_grant(at(150), 1, &[grant]), []);
-    // It echoes a request that this incarnation never made, or the clock was set back.
+    // The grant echoes a request that this incarnation never sent, or the clock was set back.
     let later = CreditItem { echo: timestamp_ms(at(9_000)), ..grant };
     assert_eq!(transfer.receive_grant(at(200), 1, &[later]), []);
     assert_eq!(transfer.counts.too_late, 200);
@@ -27,7 +27,7 @@
     let mut transfer = CreditTransfer::default();
     transfer.request(at(0), KEY, Parts(200));
     let request = transfer.take_request(at(0), 9, || 4).expect("a request");
-    assert_eq!(request.recipients, [4], "nobody twice");
+    assert_eq!(request.recipients, [4], "no peer is asked twice");
     let grant = CreditItem { key: KEY, parts: Parts(100), echo: timestamp_ms(at(0)) };
     transfer.receive_grant(at(10), 7, &[grant]);
     transfer.request(at(20), KEY, Parts(200));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn credit_is_granted_only_to_peers_that_have_asked() {
+fn credit_is_granted_only_to_peers_that_requested_it() {
     let mut transfer = CreditTransfer::default();
     transfer.grant(2, KEY, Parts(100));
     assert_eq!(transfer.urgency(), None);
@@ -52,5 +52,5 @@
         [CreditGrant { to: 2, items: vec![CreditItem { key: KEY, parts: Parts(100), echo: 77 }] }]
     );
     transfer.grant(2, KEY, Parts(2));
-    assert_eq!(transfer.urgency(), None, "not worth a datagram");
+    assert_eq!(transfer.urgency(), None, "too small for a datagram");
 }
--- a/src/fleet/datagram.rs
+++ b/src/fleet/datagram.rs
@@ -1,4 +1,4 @@
-//! Wire format of the datagrams between controllers. All numbers are big-endian; a datagram has 256 bytes at most.
+//! Wire format of the datagrams between controllers. All numbers are big-endian; a datagram has at most 256 bytes.
 //!
 //! Header, 14 bytes:
 //!
@@ -7,7 +7,7 @@
 //! | 0 | version: 1 for observations, 2 for credit |
 //! | 1 | number of items; bit 7 (128) marks a request |
 //! | 2-5 | incarnation of the sender: its clock at its start in milliseconds, lowest 32 bits |
-//! | 6-9 | sequence number of the datagram within the incarnation, from 1 on, counted over all recipients |
+//! | 6-9 | sequence number of the datagram within the incarnation, starting at 1, shared by all recipients |
 //! | 10-13 | sender's clock at sending in milliseconds, lowest 32 bits |
 //!
 //! Version 1, observations: 0 to 20 items of 12 bytes. A request asks the receiver for newer observations.
@@ -21,13 +21,13 @@
 //! | 10-11 | version: the origin's count of published observations |
 //!
 //! Version 2, credit for cold call servers: 0 to 24 items of 10 bytes. A request asks for credit, any other datagram
-//! grants it. A controller that knows version 1 alone drops the datagram and grants nothing.
+//! grants it. A controller that supports only version 1 drops the datagram and grants nothing.
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 0-3 | key of the call server |
 //! | 4-5 | credit, in 1/256 of a permit |
-//! | 6-9 | of a grant, the sending time in the header of the request that it answers; else 0 |
+//! | 6-9 | in a grant, the sending time from the header of the request that it answers; otherwise 0 |
 
 use super::observation::{Key, Observation, MAX_ENCODED_SPAN};
 use crate::interface::{Parts, Span, Time};
@@ -36,34 +36,34 @@
 const OBSERVATIONS: u8 = 1;
 /// Version of datagrams with credit.
 const CREDIT: u8 = 2;
-/// Longest datagram, in bytes.
+/// Maximum datagram length, in bytes.
 const MAX_DATAGRAM_LEN: usize = 256;
 const HEADER_LEN: usize = 14;
 const OBSERVATION_LEN: usize = 12;
 const CREDIT_LEN: usize = 10;
 /// Bit of the item count that marks a request.
 const REQUEST_FLAG: u8 = 128;
-/// Observations that fit into a datagram.
+/// Number of observations that fit into a datagram.
 pub const MAX_OBSERVATIONS: usize = (MAX_DATAGRAM_LEN - HEADER_LEN) / OBSERVATION_LEN;
-/// Credit items that fit into a datagram.
+/// Number of credit items that fit into a datagram.
 pub const MAX_CREDIT_ITEMS: usize = (MAX_DATAGRAM_LEN - HEADER_LEN) / CREDIT_LEN;
-/// Stands in place of the wait of a call server that does not answer.
+/// Encoded in place of the wait of a call server that does not answer.
 pub(super) const SILENT: u16 = u16::MAX;
 
 /// A datagram that cannot be decoded. It is dropped as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
     /// An unknown version.
-    #[error("version {0}, where {OBSERVATIONS} or {CREDIT} is expected")]
+    #[error("unsupported datagram version {0}, expected {OBSERVATIONS} or {CREDIT}")]
     Version(u8),
     /// The length does not match the number of items.
-    #[error("{got} bytes, where {items} items need {need}")]
+    #[error("datagram of {got} bytes, expected {need} for {items} items")]
     Length {
         /// Bytes received.
         got: usize,
-        /// Items according to the header.
+        /// Number of items according to the header.
         items: u8,
-        /// Bytes that so many items need.
+        /// Bytes that this number of items takes.
         need: usize,
     },
 }
@@ -77,7 +77,7 @@
     pub sequence: u32,
     /// Sender's clock at sending, in milliseconds.
     pub sent_ms: u32,
-    /// Whether the sender asks for newer observations, or for credit.
+    /// Whether the sender requests newer observations, or credit.
     pub is_request: bool,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl ObservationItem {
-    /// An observation as sent at `now`; waits and ages above 65 s are capped.
+    /// Encodes an observation to send at `now`; waits and ages above 65 s are capped.
     pub fn of(key: Key, observation: &Observation, now: Time) -> ObservationItem {
         let Observation { silent, origin, version, .. } = *observation;
         let wait = observation.wait.min(MAX_ENCODED_SPAN);
@@ -113,18 +113,18 @@
 pub struct CreditItem {
     /// The call server.
     pub key: Key,
-    /// How much.
+    /// The amount.
     pub parts: Parts,
-    /// Of a grant, the sending time of the request that it answers; else 0.
+    /// In a grant, the sending time of the request that it answers; otherwise 0.
     pub echo: u32,
 }
 
 /// The items of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
-    /// Observations of call servers; none in a heartbeat.
+    /// Observations of call servers; empty in a heartbeat.
     Observations(Vec<ObservationItem>),
-    /// Credit, requested or granted according to the header.
+    /// Credit, requested or granted depending on the header.
     Credit(Vec<CreditItem>),
 }
 
--- a/src/fleet/datagram/tests.rs
+++ b/src/fleet/datagram/tests.rs
@@ -26,7 +26,7 @@
 
 proptest! {
     #[test]
-    fn encoded_datagrams_fit_and_decode_to_the_same(body in bodies(), incarnation: u32, sequence: u32, sent_ms: u32, is_request: bool) {
+    fn encoded_datagrams_fit_the_length_limit_and_round_trip(body in bodies(), incarnation: u32, sequence: u32, sent_ms: u32, is_request: bool) {
         let header = Header { incarnation, sequence, sent_ms, is_request };
         let bytes = encode(header, &body);
         prop_assert!(bytes.len() <= 256);
@@ -34,7 +34,7 @@
     }
 
     #[test]
-    fn any_bytes_are_decoded_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected_without_panicking(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         if let Ok((header, body)) = decode(&bytes) {
             prop_assert!(encode(header, &body).len() <= bytes.len());
         }
@@ -42,17 +42,20 @@
 }
 
 #[test]
-fn unknown_versions_and_truncated_datagrams_are_rejected_with_the_reason() {
+fn unknown_versions_and_truncated_datagrams_are_rejected_with_an_error() {
     let header = Header { incarnation: 1, sequence: 2, sent_ms: 3, is_request: false };
     let mut bytes = encode(header, &Body::Observations(Vec::new()));
-    assert_eq!(decode(&bytes[..13]).unwrap_err().to_string(), "13 bytes, where 0 items need 14");
+    assert_eq!(
+        decode(&bytes[..13]).unwrap_err().to_string(),
+        "datagram of 13 bytes, expected 14 for 0 items"
+    );
     bytes[0] = 3;
     assert_eq!(decode(&bytes), Err(DatagramError::Version(3)));
 }
 
-/// Controllers of different releases run side by side during an upgrade.
+/// Guards against a change of the wire format: controllers of different releases exchange datagrams during an upgrade.
 #[test]
-fn the_wire_format_is_that_of_earlier_releases() {
+fn the_wire_format_matches_earlier_releases() {
     let header = Header { incarnation: 0x0102_0304, sequence: 5, sent_ms: 0x0a0b_0c0d, is_request: true };
     let observation = ObservationItem {
         key: Key(0x1122_3344),
--- a/src/fleet/failure_detector.rs
+++ b/src/fleet/failure_detector.rs
@@ -1,8 +1,8 @@
-//! Failure detector: which peers are alive, judged by heartbeats.
+//! Failure detector: determines by heartbeats which peers are alive.
 //!
-//! Every half second each controller sends heartbeats, datagrams of a header alone, to a few peers in turn. The bytes
-//! per second do not depend on the size of the fleet; in a larger fleet it takes longer until a peer's turn comes, and
-//! the timeout grows with it.
+//! Every half second each controller sends heartbeats, datagrams that consist of a header only, to a few peers in
+//! round-robin order. The bytes per second do not depend on the size of the fleet. In a larger fleet each peer gets
+//! heartbeats less often, and the timeout grows accordingly.
 
 use std::collections::BTreeMap;
 
@@ -10,39 +10,40 @@
 
 /// Time between two heartbeat rounds.
 pub const HEARTBEAT_INTERVAL: Span = Span::from_millis(500);
-/// Recipients of one heartbeat round at most.
+/// Maximum number of recipients in one heartbeat round.
 pub const HEARTBEAT_FANOUT: u16 = 16;
-/// A peer that has missed this many heartbeats is lost. Lower: lost datagrams look like a failure (one in 10,000 with a
-/// tenth lost). Higher: failures are noticed later.
+/// Number of missed heartbeats after which a peer counts as lost. At 10 % datagram loss, 4 consecutive heartbeats are
+/// lost with a probability of 1 in 10,000; with fewer, datagram loss would look like a failure too often. With more,
+/// failures would be detected later.
 const MAX_MISSED_HEARTBEATS: u64 = 4;
-/// Peers that a log line lists at most.
+/// Maximum number of peers listed in a log line.
 const MAX_LISTED_PEERS: usize = 8;
 
-/// A change of the set of live peers, for the log.
+/// A change of the set of live peers, to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerChange {
-    /// These peers are lost.
+    /// Peers were lost.
     Lost {
         /// Their indices.
         peers: Vec<u16>,
         /// Number of peers still alive.
         alive: usize,
-        /// The timeout that they exceeded.
+        /// The timeout that expired.
         timeout: Span,
     },
-    /// These peers are alive again.
+    /// Lost peers are alive again.
     Recovered {
         /// Their indices.
         peers: Vec<u16>,
         /// Number of peers alive.
         alive: usize,
-        /// The longest time that one of them was silent.
+        /// The longest time for which one of them sent nothing.
         silent_for: Span,
     },
 }
 
-/// The peers as a log line lists them.
-fn listed(peers: &[u16]) -> String {
+/// Formats a list of peers for a log line.
+fn format_peers(peers: &[u16]) -> String {
     let mut names: Vec<String> = peers.iter().take(MAX_LISTED_PEERS).map(u16::to_string).collect();
     if peers.len() > MAX_LISTED_PEERS {
         names.push(format!("and {} more", peers.len() - MAX_LISTED_PEERS));
@@ -54,14 +55,14 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             PeerChange::Lost { peers, alive, timeout } => {
-                let (peers, secs) = (listed(peers), timeout.secs());
-                write!(f, "fleet: no heartbeat for {secs:.1} s: controllers {peers}; {alive} peers alive")
+                let (peers, secs) = (format_peers(peers), timeout.secs());
+                write!(f, "fleet: no heartbeat for {secs:.1} s from controllers {peers}; {alive} peers alive")
             }
             PeerChange::Recovered { peers, alive, silent_for } => {
-                let (peers, secs) = (listed(peers), silent_for.secs());
+                let (peers, secs) = (format_peers(peers), silent_for.secs());
                 write!(
                     f,
-                    "fleet: alive again after up to {secs:.1} s: controllers {peers}; {alive} peers alive"
+                    "fleet: heartbeats received again after up to {secs:.1} s from controllers {peers}; {alive} peers alive"
                 )
             }
         }
@@ -73,7 +74,7 @@
 pub struct PeerCounts {
     /// Alive.
     pub alive: usize,
-    /// Were alive and are lost.
+    /// Lost, after they had been alive.
     pub lost: usize,
 }
 
@@ -82,19 +83,19 @@
 pub struct FailureDetector {
     me: u16,
     controllers: u16,
-    /// Time of the last datagram of each peer; a peer that never sent one is absent.
+    /// Time of the last datagram from each peer; a peer that never sent one is absent.
     last_contact: BTreeMap<u16, Time>,
     /// The lost peers, with the time of their last datagram before the loss.
     lost: BTreeMap<u16, Time>,
-    /// The peer whose turn for a heartbeat is next.
+    /// The next recipient of a heartbeat, in round-robin order.
     next_recipient: u16,
-    /// Time of the last [`FailureDetector::check`]. Guards against a controller that was suspended and takes its peers
-    /// for lost.
+    /// Time of the last [`FailureDetector::check`]. A long gap shows that this process was suspended, in which case its
+    /// peers must not be considered lost.
     checked_at: Time,
 }
 
 impl FailureDetector {
-    /// A detector that has heard of no peer; such peers cannot be lost.
+    /// Creates a detector that has received nothing yet. A peer counts as lost only after it has sent a datagram.
     pub fn new(me: u16, controllers: u16, now: Time) -> FailureDetector {
         FailureDetector {
             me,
@@ -113,7 +114,7 @@
         Span(heartbeat_period.saturating_mul(MAX_MISSED_HEARTBEATS))
     }
 
-    /// Notes a datagram of a peer.
+    /// Records that a peer sent a datagram.
     pub fn record_contact(&mut self, now: Time, from: u16) {
         self.last_contact.insert(from, now);
     }
@@ -133,11 +134,11 @@
         recipients
     }
 
-    /// Updates the set of lost peers; returns what has changed since the last check.
+    /// Updates the set of lost peers; returns the changes since the last check.
     pub fn check(&mut self, now: Time) -> Vec<PeerChange> {
         let since_check = now.since(std::mem::replace(&mut self.checked_at, now));
         let recovered = self.take_recovered();
-        // Datagrams that arrived while this process was suspended are read after this check.
+        // Datagrams that arrived while this process was suspended are read only after this check.
         if since_check > Span(HEARTBEAT_INTERVAL.0 * 2) {
             self.restart_timeouts(now);
         }
@@ -155,20 +156,20 @@
         changes
     }
 
-    /// Removes the peers that were lost and have sent a datagram since; returns them with the start of their silence.
+    /// Removes the lost peers that have sent a datagram since; returns them with the time of their last datagram before
+    /// the loss.
     fn take_recovered(&mut self) -> Vec<(u16, Time)> {
-        let has_returned =
-            |peer: &u16, since: &Time| self.last_contact.get(peer).is_some_and(|at| at > since);
+        let sent_again = |peer: &u16, since: &Time| self.last_contact.get(peer).is_some_and(|at| at > since);
         let lost = self.lost.iter();
         let recovered: Vec<(u16, Time)> =
-            lost.filter(|(peer, since)| has_returned(peer, since)).map(|(peer, at)| (*peer, *at)).collect();
+            lost.filter(|(peer, since)| sent_again(peer, since)).map(|(peer, at)| (*peer, *at)).collect();
         for (peer, _) in &recovered {
             self.lost.remove(peer);
         }
         recovered
     }
 
-    /// Gives all peers that are not lost the full timeout again.
+    /// Restarts the timeout of all peers that are not lost.
     fn restart_timeouts(&mut self, now: Time) {
         for (peer, last_contact) in &mut self.last_contact {
             if !self.lost.contains_key(peer) {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Adds the peers whose timeout has passed to the lost ones; returns them.
+    /// Marks the peers whose timeout has expired as lost; returns them.
     fn take_timed_out(&mut self, now: Time) -> Vec<u16> {
         let timeout = self.timeout();
         let timed_out: Vec<(u16, Time)> = self
--- a/src/fleet/failure_detector/tests.rs
+++ b/src/fleet/failure_detector/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn each_peer_gets_its_heartbeat_and_the_timeout_grows_with_the_fleet() {
+fn heartbeats_reach_every_peer_and_the_timeout_grows_with_the_fleet() {
     for controllers in [2u16, 6, 17, 40, 300] {
         let mut detector = FailureDetector::new(controllers / 2, controllers, at(0));
         let rounds = usize::from(controllers - 1).div_ceil(usize::from(HEARTBEAT_FANOUT));
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn a_partition_is_reported_once_and_its_end_once() {
+fn the_start_and_the_end_of_a_partition_are_reported_once_each() {
     let mut detector = FailureDetector::new(0, 4, at(0));
     let mut reported = Vec::new();
     for ms in (0..20_000u64).step_by(500) {
         for from in 1..4 {
-            // Two of them are cut off for 8 s.
+            // Two peers are cut off for 8 s.
             if from == 1 || !(4_000..12_000).contains(&ms) {
                 detector.record_contact(at(ms), from);
             }
@@ -37,20 +37,20 @@
     assert_eq!(
         lines,
         [
-            "fleet: no heartbeat for 2.0 s: controllers 2, 3; 1 peers alive",
-            "fleet: alive again after up to 8.5 s: controllers 2, 3; 3 peers alive"
+            "fleet: no heartbeat for 2.0 s from controllers 2, 3; 1 peers alive",
+            "fleet: heartbeats received again after up to 8.5 s from controllers 2, 3; 3 peers alive"
         ]
     );
     assert_eq!((reported[0].0, reported[1].0), (5_500, 12_000));
 }
 
 #[test]
-fn a_suspended_controller_does_not_take_its_peers_for_lost() {
+fn a_suspended_controller_does_not_report_its_peers_as_lost() {
     let mut detector = FailureDetector::new(0, 3, at(0));
     detector.record_contact(at(0), 1);
     detector.record_contact(at(0), 2);
     assert_eq!(detector.check(at(500)), []);
-    assert_eq!(detector.check(at(10_500)), [], "it was resumed");
+    assert_eq!(detector.check(at(10_500)), [], "the process was just resumed");
     detector.record_contact(at(10_600), 1);
     detector.check(at(11_000));
     detector.check(at(11_600));
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,13 +1,13 @@
 //! Gossip between controllers about the state of the call servers.
 //!
-//! Each controller publishes what it observes and keeps the newest observation of each call server, whoever made it.
-//! The module is sans-IO: observations, datagrams and times go in; datagrams and news come out.
-//! `docs/fleet-limits.md` compares the designs considered and states the bounds.
+//! Each controller publishes its own observations and keeps the newest observation of each call server, regardless of
+//! which controller made it. The module is sans-IO: observations, datagrams and times go in; datagrams and updates come
+//! out. `docs/fleet-limits.md` compares the designs considered and states the bounds.
 //!
-//! An observation that changes the severity of a call server is news. It is forwarded to a few random peers per round,
-//! for as many rounds as it takes until all should have received it (rumour mongering). Periodic anti-entropy exchanges
-//! repair what lost datagrams left out. The bytes sent per second are limited whatever the size of the fleet; the
-//! largest changes go first.
+//! An observation that changes the severity of a call server is an update. It is forwarded to a few random peers per
+//! round, for as many rounds as are expected to inform the whole fleet (rumour mongering). Periodic anti-entropy
+//! exchanges deliver what was missed because of lost datagrams. The bytes sent per second are limited independently of
+//! the fleet's size; the largest changes are sent first.
 
 mod config;
 pub mod credit_transfer;
@@ -34,12 +34,12 @@
 use peer_clock::PeerClock;
 use send_budget::SendBudget;
 
-/// Call servers tracked at once at most; bounds the memory.
+/// Maximum number of call servers tracked at once; bounds memory use.
 const MAX_TRACKED_SERVERS: usize = 1_024;
-/// A severity that differs by fewer steps from the known one is not published before the next refresh.
+/// A severity that differs from the known one by fewer steps is not published before the next refresh.
 const MIN_SEVERITY_CHANGE: u8 = 2;
 
-/// News from a peer, for the decisions.
+/// Information received from a peer, for the decision module.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerUpdate {
     /// A newer observation of a call server.
@@ -66,7 +66,7 @@
     pub bytes: u64,
     /// Datagrams received that could be decoded.
     pub received: u64,
-    /// Datagrams dropped: out of order, duplicate, or of an earlier incarnation.
+    /// Datagrams dropped because they were out of order, duplicates, or from an earlier incarnation.
     pub dropped: u64,
     /// Datagrams that could not be decoded.
     pub malformed: u64,
@@ -74,13 +74,13 @@
     pub rounds_deferred: u64,
 }
 
-/// The newest observation of a call server, and its state of distribution.
+/// The newest known observation of a call server, and how far it has been forwarded.
 #[derive(Debug)]
 struct Entry {
     observation: Observation,
-    /// Rounds in which it is still forwarded.
+    /// Remaining rounds in which it is forwarded.
     rounds_left: u8,
-    /// Change of severity against what was known before; larger changes are sent first.
+    /// Difference to the severity known before; larger changes are sent first.
     severity_change: u8,
 }
 
@@ -90,12 +90,12 @@
     config: FleetConfig,
     rng: Pcg32,
     entries: BTreeMap<Key, Entry>,
-    /// The latest observations of this controller itself, published or not.
+    /// The latest observations made by this controller, published or not.
     own: BTreeMap<Key, Observation>,
     peer_clocks: BTreeMap<u16, PeerClock>,
-    /// Peers that have asked for newer observations, and which are to be sent.
+    /// Peers that requested newer observations, and the call servers whose observations they lack.
     pending_replies: BTreeMap<u16, Vec<Key>>,
-    /// Version of the next observation that this controller publishes.
+    /// Version number of the next observation published by this controller.
     next_version: u16,
     /// Sequence number of the last datagram sent.
     last_sequence: u32,
@@ -114,7 +114,7 @@
 }
 
 impl Fleet {
-    /// A member that has no observations yet.
+    /// Creates a member that has no observations yet.
     pub fn new(config: FleetConfig, now: Time) -> Fleet {
         Fleet {
             next_version: (config.incarnation & 0xffff) as u16,
@@ -129,7 +129,8 @@
             failure_detector: FailureDetector::new(config.me, config.controllers, now),
             peer_changes: Vec::new(),
             next_round: now,
-            // Immediately: a controller that has just started asks its peers before it has work.
+            // Immediately, so that a controller that has just started knows its peers' observations before its first
+            // call.
             next_anti_entropy: now,
             next_heartbeat: now,
             config,
@@ -137,17 +138,18 @@
         }
     }
 
-    /// The newest observation of a call server, unless it is too old.
+    /// The newest observation of a call server, unless it is older than the maximum age.
     pub fn view(&self, key: Key, now: Time) -> Option<Observation> {
         self.entries.get(&key).map(|entry| entry.observation).filter(|o| o.age(now) < self.config.max_age)
     }
 
-    /// The last observation that this controller itself made of a call server, unless it is too old.
+    /// This controller's own latest observation of a call server, unless it is older than the maximum age.
     pub fn own_view(&self, key: Key, now: Time) -> Option<Observation> {
         self.own.get(&key).copied().filter(|o| o.age(now) < self.config.max_age)
     }
 
-    /// Records this controller's own observation of a call server; publishes it if it is news, or if a refresh is due.
+    /// Records this controller's own observation of a call server; publishes it if it is an update, or if a refresh is
+    /// due.
     pub fn observe(&mut self, now: Time, key: Key, wait: Span, silent: bool) {
         if !self.has_room_for(key) {
             return;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Whether a call server is tracked, or can be.
+    /// Whether a call server is tracked already, or can be added.
     fn has_room_for(&self, key: Key) -> bool {
         self.entries.contains_key(&key) || self.entries.len() < MAX_TRACKED_SERVERS
     }
@@ -176,7 +178,7 @@
         self.entries.insert(key, Entry { observation, rounds_left, severity_change });
     }
 
-    /// Handles a datagram of a peer; returns the news in it.
+    /// Handles a datagram of a peer; returns the updates in it.
     pub fn receive(&mut self, now: Time, from: u16, bytes: &[u8]) -> Result<Vec<PeerUpdate>, DatagramError> {
         let decoded = datagram::decode(bytes);
         let (header, body) = decoded.inspect_err(|_| self.counts.malformed += 1)?;
@@ -188,12 +190,12 @@
         self.failure_detector.record_contact(now, from);
         Ok(match body {
             Body::Credit(items) => {
-                let news = if header.is_request {
+                let messages = if header.is_request {
                     self.credit.receive_request(from, header.sent_ms, &items)
                 } else {
                     self.credit.receive_grant(now, from, &items)
                 };
-                news.into_iter().map(PeerUpdate::Credit).collect()
+                messages.into_iter().map(PeerUpdate::Credit).collect()
             }
             Body::Observations(items) => {
                 if header.is_request {
@@ -205,7 +207,7 @@
         })
     }
 
-    /// Notes which observations a requesting peer does not have, judged by what it sent.
+    /// Notes which observations a requesting peer lacks, judged by those in its request.
     fn prepare_reply(&mut self, from: u16, items: &[ObservationItem]) {
         let peer_has = |key: &Key, observation: &Observation| {
             let item = items.iter().find(|item| item.key == *key);
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Merges a received observation that was in transit for `transit`; returns it if it is news.
+    /// Merges a received observation that was in transit for `transit`; returns it if it supersedes the known one.
     fn merge(&mut self, now: Time, transit: Span, item: &ObservationItem) -> Option<PeerUpdate> {
         let age = item.age.0.saturating_add(transit.0);
         let observation = Observation {
@@ -228,7 +230,7 @@
             origin: item.origin,
             version: item.version,
         };
-        // This controller's own observations are known here better.
+        // The local record of this controller's own observations is more accurate than a forwarded copy.
         if item.origin == self.config.me || observation.age(now) >= self.config.max_age {
             return None;
         }
@@ -254,19 +256,19 @@
         }
     }
 
-    /// Takes the changes of the set of live peers since the last call.
+    /// Takes the changes to the set of live peers since the last call.
     pub fn take_peer_changes(&mut self) -> Vec<PeerChange> {
         std::mem::take(&mut self.peer_changes)
     }
 
-    /// Notes that this controller is short of permits for a cold call server: peers are asked in the next round.
+    /// Notes that this controller is short of permits for a cold call server; peers are asked in the next round.
     pub fn request_credit(&mut self, now: Time, key: Key, parts: Parts) {
         if self.config.controllers > 1 {
             self.credit.request(now, key, parts);
         }
     }
 
-    /// Does what is due at `now`; appends the datagrams to send to `out`.
+    /// Runs everything that is due at `now`; appends the datagrams to send to `out`.
     pub fn poll(&mut self, now: Time, out: &mut Vec<Outgoing>) {
         self.remove_stale(now);
         if self.config.controllers < 2 {
@@ -296,7 +298,8 @@
         self.own.retain(|_, observation| observation.age(now) < max_age);
     }
 
-    /// Sends the pending grants. A grant that exceeds the byte budget is lost, as with a lost datagram.
+    /// Sends the pending grants. The credit in a grant that exceeds the byte budget is lost, as if the datagram had
+    /// been lost in transit.
     fn send_grants(&mut self, now: Time, out: &mut Vec<Outgoing>) {
         let grants: Vec<_> = self.credit.take_grants().collect();
         for grant in grants {
@@ -306,7 +309,7 @@
 
     /// Sends the newest observations to a random peer and asks it for newer ones.
     fn start_anti_entropy(&mut self, now: Time, out: &mut Vec<Outgoing>) {
-        // Between half and one and a half intervals: controllers that start together drift apart.
+        // Between 0.5 and 1.5 intervals, so that controllers that start together do not stay synchronized.
         let jitter = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
         self.next_anti_entropy = now.plus(self.config.anti_entropy_interval.share(0.5 + jitter));
         let newest = self.select(now, |_, _| true, |entry| Reverse(entry.observation.observed_at));
@@ -323,7 +326,7 @@
         }
     }
 
-    /// Asks peers for credit if this controller is short of permits.
+    /// Requests credit from peers if this controller is short of permits.
     fn send_credit_request(&mut self, now: Time, out: &mut Vec<Outgoing>) {
         let (me, peers, rng) = (self.config.me, self.config.controllers - 1, &mut self.rng);
         let Some(request) = self.credit.take_request(now, peers, || random_peer(rng, me, peers)) else {
@@ -335,7 +338,7 @@
         }
     }
 
-    /// Answers the peers that have asked for newer observations.
+    /// Replies to the peers that requested newer observations.
     fn send_replies(&mut self, now: Time, out: &mut Vec<Outgoing>) {
         for (to, keys) in std::mem::take(&mut self.pending_replies) {
             let is_missing = |key: &Key, _: &Entry| keys.contains(key);
@@ -346,7 +349,7 @@
         }
     }
 
-    /// Forwards the observations that are still news to random peers.
+    /// Forwards the observations that have rounds left to random peers.
     fn send_rumours(&mut self, now: Time, out: &mut Vec<Outgoing>) {
         let by_change = |e: &Entry| (Reverse(e.severity_change), Reverse(e.observation.observed_at));
         let rumours = self.select(now, |_, entry| entry.rounds_left > 0, by_change);
@@ -371,7 +374,7 @@
         }
     }
 
-    /// The first entries in the given order that match, as many as fit into a datagram.
+    /// The first matching entries in the given order, as many as fit into a datagram.
     fn select<K: Ord>(
         &self,
         now: Time,
@@ -390,7 +393,7 @@
         random_peer(&mut self.rng, self.config.me, self.config.controllers - 1)
     }
 
-    /// Appends a datagram to `out`; `false`: the byte budget did not allow it.
+    /// Appends a datagram to `out`. Returns `false` if the byte budget is exhausted.
     fn send(&mut self, now: Time, to: u16, is_request: bool, body: &Body, out: &mut Vec<Outgoing>) -> bool {
         let header = Header {
             incarnation: self.config.incarnation,
@@ -410,7 +413,7 @@
     }
 }
 
-/// Change of severity that an observation brings; a call server that was unknown counts as news.
+/// Change of severity caused by an observation. The first observation of a call server always counts as an update.
 fn severity_change(known: Option<Observation>, new: &Observation) -> u8 {
     known.map_or(MIN_SEVERITY_CHANGE, |known| known.severity().distance(new.severity()))
 }
--- a/src/fleet/observation.rs
+++ b/src/fleet/observation.rs
@@ -2,8 +2,8 @@
 
 use crate::interface::{ServerState, Span, Time};
 
-/// A call server's identifier in datagrams: the first four bytes of the SHA-256 of its host name. Each controller
-/// numbers the call servers in its own way, so those numbers cannot be sent.
+/// A call server's identifier in datagrams: the first four bytes of the SHA-256 of its host name. The controllers'
+/// internal numbers for call servers differ from each other, so they cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u32);
 
@@ -13,8 +13,8 @@
         Key::hashed(&[host])
     }
 
-    /// The key for what the directories list about the call server. It differs from [`Key::of`], so that an observation
-    /// of its processor and one of its listing do not replace each other.
+    /// The key for the call server's state as listed by directories. It differs from [`Key::of`], so that observations
+    /// of the processor and of the listing do not replace each other.
     pub fn of_listing(host: &str) -> Key {
         Key::hashed(&["listing:", host])
     }
@@ -26,8 +26,8 @@
     }
 }
 
-/// The wait that encodes each listed state in an observation of a listing. The waits are far enough apart in severity
-/// that every change of the state is news.
+/// The wait that encodes each state in an observation of a listing. The severities of these waits are far enough apart
+/// that every change of the state is published.
 const LISTING_WAITS: [(ServerState, Span); 3] = [
     (ServerState::Ready, Span::from_millis(0)),
     (ServerState::Draining, Span::from_millis(1_000)),
@@ -39,39 +39,39 @@
     LISTING_WAITS.iter().find(|(listed, _)| *listed == state).map(|(_, wait)| *wait).unwrap_or_default()
 }
 
-/// The listed state that a wait encodes; `None`: none that this version knows.
+/// The listed state that a wait encodes; `None` if this version knows no such state.
 pub fn decode_listing(wait: Span) -> Option<ServerState> {
     LISTING_WAITS.iter().find(|(_, encoded)| *encoded == wait).map(|(state, _)| *state)
 }
 
-/// The longest wait, and the highest age, that a datagram can carry: 65.535 s.
+/// The longest wait or age that fits into a datagram: 65.535 s.
 pub const MAX_ENCODED_SPAN: Span = Span::from_millis(u16::MAX as u64);
 
-/// The state of a call server as one controller observed it.
+/// The state of a call server as observed by one controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
     /// The wait at its processor.
     pub wait: Span,
-    /// Whether it did not answer.
+    /// Whether it failed to answer.
     pub silent: bool,
-    /// When it was observed, by the holder's own clock. A received observation may be newer than this, but never older
-    /// while the smallest latency of the link is within the allowance
-    /// ([`FleetConfig::min_latency`](super::FleetConfig::min_latency)).
+    /// When it was observed, by the local clock. A received observation may be newer than this value, but is never
+    /// older as long as the smallest latency of the link is at most
+    /// [`FleetConfig::min_latency`](super::FleetConfig::min_latency).
     pub observed_at: Time,
     /// Index of the controller that observed it.
     pub origin: u16,
-    /// Counts the observations that the origin has published; wraps around after 65,536.
+    /// Number of observations published by the origin; wraps around at 65,536.
     pub version: u16,
 }
 
-/// Two observations of one origin whose versions are no further apart are ordered by version. Further apart, the origin
-/// has restarted its count, and their times decide.
+/// Two observations of one origin whose versions differ by at most this are ordered by version. If they differ by more,
+/// the origin has restarted its count, and the observations are ordered by time.
 const VERSION_WINDOW: u16 = 1_024;
 
-/// Waits below this are all of the lowest severity.
+/// Waits below this have the lowest severity.
 const SEVERITY_UNIT_US: u64 = 50_000;
 
-/// How loaded a call server looks, on a logarithmic scale: each step is twice the wait of the one before.
+/// Load of a call server on a logarithmic scale: each step doubles the wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Severity(u8);
 
@@ -86,7 +86,7 @@
 }
 
 impl Observation {
-    /// Its severity; waits under 50 ms are all alike.
+    /// Its severity. Waits under 50 ms are not distinguished.
     pub fn severity(&self) -> Severity {
         if self.silent {
             return Severity::SILENT;
@@ -100,15 +100,15 @@
         now.since(self.observed_at)
     }
 
-    /// Weight of this observation in a decision: 1 when it is fresh, falling linearly to 0 at `max_age`.
+    /// Weight of this observation in a decision: 1 when it is new, decreasing linearly to 0 at `max_age`.
     pub fn weight(&self, now: Time, max_age: Span) -> f64 {
         1.0 - self.age(now).between(Span::default(), max_age)
     }
 
-    /// Whether this observation replaces the other one, that is, whether it is newer. Of two by one origin their
-    /// versions decide, so that one received again never counts as new. Of two with the same time the more severe one
-    /// wins, then that of the lower origin: all controllers converge to the same observation in whatever order they
-    /// receive them.
+    /// Whether this observation replaces the other one because it is newer. Two observations of the same origin are
+    /// ordered by version, so that a duplicate never counts as new. Of two with the same time the more severe one takes
+    /// precedence, then the one with the lower origin. All controllers therefore converge to the same observation
+    /// regardless of the order of arrival.
     pub fn supersedes(&self, other: &Observation) -> bool {
         if self.origin == other.origin {
             let ahead = self.version.wrapping_sub(other.version);
--- a/src/fleet/observation/tests.rs
+++ b/src/fleet/observation/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn every_change_of_a_listed_state_is_news() {
+fn every_change_of_a_listed_state_is_large_enough_to_be_published() {
     for (state, wait) in LISTING_WAITS {
         assert_eq!(decode_listing(encode_listing(state)), Some(state));
         let others = LISTING_WAITS.iter().filter(|(other, _)| *other != state);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_newer_observation_wins_and_ties_are_broken_alike_everywhere() {
+fn the_newer_observation_takes_precedence_and_ties_are_broken_deterministically() {
     assert!(observation(0, false, 2, 9).supersedes(&observation(900, true, 1, 0)));
     let (a, b) = (observation(900, false, 5, 3), observation(10, false, 5, 1));
     assert!(a.supersedes(&b) && !b.supersedes(&a));
@@ -44,15 +44,18 @@
 #[test]
 fn versions_order_the_observations_of_one_origin_unless_it_has_restarted() {
     let published = |version: u16, at: u64| Observation { version, ..observation(10, false, at, 4) };
-    assert!(published(7, 1).supersedes(&published(6, 2)), "dated wrongly in transit");
+    assert!(
+        published(7, 1).supersedes(&published(6, 2)),
+        "the version decides, even if the estimated time is wrong"
+    );
     assert!(!published(6, 2).supersedes(&published(7, 1)));
     assert!(published(0, 1).supersedes(&published(u16::MAX, 2)));
-    assert!(!published(7, 9).supersedes(&published(7, 1)), "a duplicate is no news");
+    assert!(!published(7, 9).supersedes(&published(7, 1)), "a duplicate is not newer");
     assert!(published(0, 9).supersedes(&published(30_000, 1)), "a new incarnation");
 }
 
 #[test]
-fn an_old_observation_has_less_weight() {
+fn the_weight_of_an_observation_decreases_with_its_age() {
     let (observed, max_age) = (observation(10, false, 1_000_000, 0), Span::from_millis(4_000));
     assert_eq!(observed.weight(Time(1_000_000), max_age), 1.0);
     assert_eq!(observed.weight(Time(3_000_000), max_age), 0.5);
--- a/src/fleet/peer_clock/tests.rs
+++ b/src/fleet/peer_clock/tests.rs
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn reordered_duplicate_and_earlier_datagrams_are_dropped() {
+fn duplicates_reordered_datagrams_and_those_of_earlier_incarnations_are_dropped() {
     let mut clock = PeerClock::default();
     assert!(clock.receive(at(100), &header(7, 2, 0)).is_some());
-    assert_eq!(clock.receive(at(101), &header(7, 2, 0)), None, "twice");
+    assert_eq!(clock.receive(at(101), &header(7, 2, 0)), None, "a duplicate");
     assert_eq!(clock.receive(at(102), &header(7, 1, 0)), None, "out of order");
     assert_eq!(clock.receive(at(103), &header(6, 9, 0)), None, "of the previous incarnation");
     assert!(clock.receive(at(104), &header(8, 1, 0)).is_some(), "a new incarnation");
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn delay_in_transit_is_measured_whatever_the_clocks_show() {
+fn transit_delay_is_measured_independently_of_the_clock_offset() {
     let mut clock = PeerClock::default();
-    // The sender's clock is offset by 4,000,000,000 ms and wraps around meanwhile.
+    // The sender's clock is 4,294,960,000 ms ahead, so that its 32-bit timestamps have wrapped around.
     let sent = |ms: u64| (ms as u32).wrapping_add(4_294_960_000);
     assert_eq!(clock.receive(at(10_020), &header(1, 1, sent(10_000))), Some(Span::default()));
     assert_eq!(clock.receive(at(10_120), &header(1, 2, sent(10_100))), Some(Span::default()));
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn clock_drift_counts_as_little_delay() {
+fn clock_drift_is_not_mistaken_for_delay() {
     let mut clock = PeerClock::default();
     let mut delay = Span::default();
-    // Drift of a second per hour: after an hour only the drift of the last two windows counts.
+    // The clocks drift by one second per hour. After an hour only the drift of the last two windows counts.
     for no in 1..=3_600u32 {
         let now = u64::from(no) * 1_000;
         delay = clock.receive(at(now + 20), &header(1, no, (now - now / 3_600) as u32)).expect("in order");
--- a/src/fleet/token_bucket/tests.rs
+++ b/src/fleet/token_bucket/tests.rs
@@ -15,32 +15,33 @@
     let lent = lender.lend(Parts::of(0.75));
     assert_eq!((lent, lender.available()), (Parts::of(0.75), 3.25));
     other.borrow(lent);
-    assert_eq!(other.available(), 0.0, "one can be consumed");
+    assert_eq!(other.available(), 0.0, "enough for one call");
     other.consume(1.0);
     assert_eq!(other.available(), -1.0);
 }
 
 #[test]
-fn a_lender_keeps_its_reserve_and_lends_nothing_that_it_does_not_have() {
+fn a_lender_keeps_its_reserve_and_never_lends_more_than_it_has() {
     let mut bucket = TokenBucket::new(-0.3, at(0));
     assert_eq!(bucket.lend(Parts::of(2.0)), Parts(0));
     bucket.refill(at(1_000), 0.8, 0.8, || 1.0);
-    assert_eq!(bucket.lend(Parts::of(2.0)), Parts::of(0.1), "0.5 there, 0.4 kept");
+    assert_eq!(bucket.lend(Parts::of(2.0)), Parts::of(0.1), "0.5 available, of which 0.4 are reserved");
     bucket.refill(at(9_000), 0.8, 0.8, || 0.1);
     let all: f64 = (0..9).map(|_| bucket.lend(Parts::of(2.0)).calls()).sum();
     assert!(all <= 0.4 && bucket.available() >= 0.4, "{all} {bucket:?}");
 }
 
 proptest! {
-    /// In whatever order buckets lend, borrow and consume: together they never consume more than was refilled.
+    /// Regardless of the order in which buckets lend, borrow and consume permits, together they never consume more than
+    /// was refilled.
     #[test]
     fn permits_are_never_duplicated(steps in proptest::collection::vec((0..4usize, 0..4usize, 0..3u8, 1..60u64), 1..300)) {
         let mut buckets = [TokenBucket::new(0.0, at(0)); 4];
         let (mut now, mut consumed) = (0, 0.0);
-        for (one, other, what, ms) in steps {
+        for (one, other, operation, ms) in steps {
             now += ms;
             buckets[one].refill(at(now), 5.0, 5.0, || 0.5);
-            match what {
+            match operation {
                 0 if buckets[one].available() >= 0.0 => {
                     buckets[one].consume(1.0);
                     consumed += 1.0;
@@ -56,13 +57,13 @@
             }
         }
         let refilled = 4.0 * 5.0 * now as f64 / 1_000.0;
-        // A whole permit is consumed where only a part of it is available.
+        // A call may be sent with 0 permits available, so each bucket may consume one permit in advance.
         prop_assert!(consumed <= refilled + 4.0, "{consumed} of {refilled}");
     }
 }
 
 #[test]
-fn the_serialized_form_is_that_of_earlier_releases() {
+fn the_serialized_form_matches_earlier_releases() {
     let mut bucket = TokenBucket::new(-0.5, at(0));
     bucket.refill(at(1_000), 0.25, 2.0, || 1.0);
     let expected = serde_json::json!({"own": -0.25, "most": 2.0, "at": at(1_000).0});
--- a/src/fleet/warnings.rs
+++ b/src/fleet/warnings.rs
@@ -1,24 +1,25 @@
-//! Warnings: peers' directories report that a call server drains or is gone before our own directory does.
+//! Warnings: a peer reports that its directory lists a call server as draining or gone, before this controller's own
+//! directory does.
 //!
-//! A directory may be seconds late, or unreachable. A warning keeps new calls away from the call server; it never brings
-//! any, and the next entry of our own directory ends it.
+//! A directory may be seconds late, or unreachable. A warning only keeps new calls away from the call server; it never
+//! sends any there, and the next entry from the local directory ends it.
 
 use std::collections::BTreeMap;
 
 use crate::interface::{ServerId, ServerState, Span, Time};
 
-/// A warning that our own directory does not confirm expires after this time. An entry counts as published after 7 s at
-/// the latest, so by then our directory has it too, or the peer was wrong.
+/// Time after which a warning expires if the local directory does not confirm it. An entry counts as published after 7 s
+/// at the latest, so by then the local directory lists it too, or the peer was wrong.
 const WARNING_TTL: Span = Span::from_millis(10_000);
 
-/// Effect of a peer's report on the warnings.
+/// Effect of a peer's report on the active warnings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WarningChange {
-    /// None: our own directory is newer, or the warning was known.
+    /// No change: the local directory's entry is newer, or the warning was active already.
     Unchanged,
-    /// A warning was raised; it expires at this time unless it is repeated.
+    /// A warning was raised; it expires at this time unless the report is repeated.
     Raised(Time),
-    /// The warning was withdrawn: the entry of our own directory counts again.
+    /// The warning was withdrawn: the local directory's entry applies again.
     Withdrawn,
 }
 
@@ -34,7 +35,7 @@
 /// An active warning.
 #[derive(Debug, Clone, Copy)]
 struct Warning {
-    /// When the peer's directory reported it, by our clock.
+    /// When the peer's directory reported the state, by the local clock.
     reported_at: Time,
     expires_at: Time,
 }
@@ -42,19 +43,19 @@
 /// The active warnings.
 #[derive(Debug, Default)]
 pub struct Warnings {
-    /// When our own directory last listed each call server.
+    /// When the local directory last listed each call server.
     own_listed_at: BTreeMap<ServerId, Time>,
     active: BTreeMap<ServerId, Warning>,
 }
 
 impl Warnings {
-    /// Our own directory lists a call server: its warning ends.
+    /// Records that the local directory lists a call server; this ends any warning for it.
     pub fn record_own_listing(&mut self, now: Time, server: ServerId) {
         self.own_listed_at.insert(server, now);
         self.active.remove(&server);
     }
 
-    /// A peer's directory reported `state` at `reported_at`, by our clock.
+    /// Records that a peer's directory reported `state` at `reported_at`, by the local clock.
     pub fn record_peer_listing(
         &mut self,
         now: Time,
@@ -62,7 +63,7 @@
         state: ServerState,
         reported_at: Time,
     ) -> WarningChange {
-        // Unlisted call servers do not matter here; a newer entry of our own directory takes precedence.
+        // Call servers that the local directory does not list are ignored; a newer entry in it takes precedence.
         if self.own_listed_at.get(&server).is_none_or(|listed_at| reported_at <= *listed_at) {
             return WarningChange::Unchanged;
         }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Removes the warning if it has expired; `None`: there is none.
+    /// Removes the warning if it has expired; `None` if there is no warning.
     pub fn check_expiry(&mut self, now: Time, server: ServerId) -> Option<WarningExpiry> {
         let expires_at = self.active.get(&server)?.expires_at;
         if now < expires_at {
@@ -96,12 +97,12 @@
         Some(WarningExpiry::Expired)
     }
 
-    /// Whether a warning keeps new calls away from a call server.
+    /// Whether a warning currently keeps new calls away from a call server.
     pub fn is_active(&self, server: ServerId) -> bool {
         self.active.contains_key(&server)
     }
 
-    /// Forgets a call server that has left for good.
+    /// Removes all state of a call server that was removed permanently.
     pub fn forget(&mut self, server: ServerId) {
         self.own_listed_at.remove(&server);
         self.active.remove(&server);
--- a/src/fleet/warnings/tests.rs
+++ b/src/fleet/warnings/tests.rs
@@ -9,18 +9,18 @@
 }
 
 #[test]
-fn a_peers_report_counts_until_our_own_directory_lists_it() {
+fn a_peers_report_applies_until_the_local_directory_lists_the_call_server() {
     let mut warnings = Warnings::default();
     assert_eq!(
         warnings.record_peer_listing(at(5), S, ServerState::Draining, at(4)),
         WarningChange::Unchanged,
-        "not ours"
+        "the local directory does not list the call server"
     );
     warnings.record_own_listing(at(10), S);
     assert_eq!(
         warnings.record_peer_listing(at(20), S, ServerState::Draining, at(9)),
         WarningChange::Unchanged,
-        "older than ours"
+        "the local directory's entry is newer"
     );
     assert_eq!(
         warnings.record_peer_listing(at(30), S, ServerState::Gone, at(25)),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_unconfirmed_warning_expires_and_a_repeated_one_lasts() {
+fn an_unconfirmed_warning_expires_and_a_repeated_report_extends_it() {
     let mut warnings = Warnings::default();
     warnings.record_own_listing(at(0), S);
     warnings.record_peer_listing(at(100), S, ServerState::Draining, at(90));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_newer_ready_report_withdraws_the_warning_an_older_one_does_not() {
+fn only_a_newer_ready_report_withdraws_the_warning() {
     let mut warnings = Warnings::default();
     warnings.record_own_listing(at(0), S);
     warnings.record_peer_listing(at(100), S, ServerState::Draining, at(90));
