--- a/src/recovery/mod.rs
+++ b/src/recovery/mod.rs
@@ -1,30 +1,32 @@
-//! How a controller comes back after its process has died, alone or with all others: what it trusts of its records, what
-//! it asks the others, and in which order service returns. Sans-IO; `docs/recovery.md` gives the reasons.
+//! Recovery of a controller after its process was terminated without a takeover, alone or together with all other
+//! controllers: which records it trusts, what it asks its peers, and in which order service resumes. Sans-IO;
+//! `docs/recovery.md` gives the reasons.
 //!
-//! The order: the records are read before anything is taken; then the others are asked what they see of the call servers;
-//! no set-up leaves before all that the life before may have had out is over; then work comes at a rising rate, unless
-//! another controller answered, so that the fleet is at work and only this one was away; call servers that are cold are
-//! given work last.
+//! The records are read before any set-up is admitted. Then the peers are asked for their observations of the call
+//! servers. No set-up is sent until every attempt that the previous run may have left outstanding is over. After that,
+//! set-ups are admitted at a rising rate; if a peer has answered, the fleet kept working and full service resumes at
+//! once. Cold call servers get set-ups only at full service.
 
 pub mod records;
 
 use crate::interface::{Span, Time};
 
-/// What a recovery goes by.
+/// Configuration of a recovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecoveryConfig {
-    /// After an attempt that may have been out nothing may go for its call for so long.
+    /// Time after an attempt that may be outstanding during which no set-up may be sent for its call.
     pub resend_delay: Span,
-    /// The others are waited for this long; they answer within two ways and a round.
+    /// Time to wait for the peers' answers. They take at most two one-way latencies and one gossip round.
     pub peer_query_timeout: Span,
-    /// The time in which work rises from `initial_share` to all of it, where nobody else was at work.
+    /// Time in which the share of admitted set-ups rises from `initial_share` to 1, if no peer has answered.
     pub ramp_up: Span,
-    /// The share of the set-ups that is taken first.
+    /// Share of the set-ups that is admitted at the start of the ramp-up.
     pub initial_share: f64,
-    /// A call of the records whose call server is not listed by then is over, as far as anybody can know: the release
-    /// that it is owed must be said within 8 s.
+    /// Time after the start within which the call server of a recorded call must be listed; otherwise the call is
+    /// considered ended. Less than the 8 s within which the release of an ended call must be sent.
     pub directory_timeout: Span,
-    /// A line of the list older than this says nothing of who is ready; that a call server drained or had gone counts on.
+    /// Maximum age of a recorded directory entry that lists a call server as ready. Entries that list it as draining or
+    /// gone have no maximum age.
     pub max_entry_age: Span,
 }
 
@@ -41,41 +43,41 @@
     }
 }
 
-/// Where a recovery stands. Each phase begins when the one before has ended.
+/// Phases of a recovery, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// The others are asked; nothing is taken.
+    /// The peers are asked for their observations; no set-up is admitted.
     QueryingPeers,
-    /// What the life before may have had out is waited for; nothing is taken.
+    /// Waits until the previous run's outstanding attempts are over; no set-up is admitted.
     WaitingForAttempts,
-    /// Work comes at a rising rate; cold call servers get none.
+    /// Set-ups are admitted at a rising rate; cold call servers get none.
     RampingUp,
     /// Full service.
     Serving,
 }
 
-/// A phase has begun: for the log.
+/// The start of a phase, to be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PhaseStart {
-    /// Which.
+    /// The phase.
     pub phase: Phase,
-    /// So long after the start.
-    pub after: Span,
-    /// Whether another controller has answered.
-    pub answered: bool,
+    /// Time since the start of the process.
+    pub elapsed: Span,
+    /// Whether a peer has answered.
+    pub peer_answered: bool,
 }
 
 impl std::fmt::Display for PhaseStart {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let ms = self.after.0 / 1_000;
-        let what = match (self.phase, self.answered) {
-            (Phase::QueryingPeers, _) => "the others are asked",
-            (Phase::WaitingForAttempts, true) => "another controller has answered; no set-up leaves yet",
-            (Phase::WaitingForAttempts, false) => "nobody answers; no set-up leaves yet",
-            (Phase::RampingUp, _) => "work comes at a rising rate",
-            (Phase::Serving, _) => "full service, cold call servers too",
+        let ms = self.elapsed.0 / 1_000;
+        let text = match (self.phase, self.peer_answered) {
+            (Phase::QueryingPeers, _) => "asking the other controllers for their observations",
+            (Phase::WaitingForAttempts, true) => "another controller has answered; no set-ups are sent yet",
+            (Phase::WaitingForAttempts, false) => "no other controller has answered; no set-ups are sent yet",
+            (Phase::RampingUp, _) => "admitting set-ups at a rising rate",
+            (Phase::Serving, _) => "full service, including cold call servers",
         };
-        write!(f, "recovery: {ms} ms after the start: {what}")
+        write!(f, "recovery: {ms} ms after the start: {text}")
     }
 }
 
@@ -83,118 +85,123 @@
 #[derive(Debug)]
 pub struct Recovery {
     config: RecoveryConfig,
-    began: Time,
+    started_at: Time,
     phase: Phase,
-    /// When the phase began.
-    since: Time,
-    /// Whether there is anybody to ask.
-    others: bool,
-    answered: bool,
-    /// Of the set-ups that came while work rises: how far the next that is taken has come.
-    credit: f64,
+    /// When the current phase began.
+    phase_started_at: Time,
+    /// Whether there are peers to ask.
+    has_peers: bool,
+    peer_answered: bool,
+    /// Accumulated admission share during the ramp-up; a set-up is admitted whenever this reaches 1.
+    admission_credit: f64,
 }
 
 impl Recovery {
-    /// Begins at the start of the process; `others`: there are other controllers to ask.
-    pub fn new(config: RecoveryConfig, began: Time, others: bool) -> Recovery {
+    /// Begins a recovery at the start of the process; `has_peers` tells whether there are peers to ask.
+    pub fn new(config: RecoveryConfig, started_at: Time, has_peers: bool) -> Recovery {
         Recovery {
             config,
-            began,
+            started_at,
             phase: Phase::QueryingPeers,
-            since: began,
-            others,
-            answered: false,
-            credit: 0.0,
+            phase_started_at: started_at,
+            has_peers,
+            peer_answered: false,
+            admission_credit: 0.0,
         }
     }
 
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Another controller has told what it sees: it was at work while this one was not.
+    /// Records that a peer has answered with an observation, which shows that it was working while this controller was
+    /// not.
     pub fn record_peer_answer(&mut self) {
-        self.answered = true;
+        self.peer_answered = true;
     }
 
-    /// What has begun by `now`, in order.
+    /// Advances to the phase that applies at `now`; returns the phases that have begun, in order.
     pub fn advance(&mut self, now: Time) -> Vec<PhaseStart> {
         let mut began = Vec::new();
         while let Some(at) = self.phase_end().filter(|at| *at <= now) {
-            let (phase, since) = match self.phase {
+            let (phase, phase_started_at) = match self.phase {
                 Phase::QueryingPeers => (Phase::WaitingForAttempts, at),
-                Phase::WaitingForAttempts if self.answered => (Phase::Serving, at),
+                Phase::WaitingForAttempts if self.peer_answered => (Phase::Serving, at),
                 Phase::WaitingForAttempts => (Phase::RampingUp, at),
                 Phase::RampingUp | Phase::Serving => (Phase::Serving, at),
             };
-            // A process that stood still goes on from when it woke, not from when the phase should have begun.
-            (self.phase, self.since) = (phase, since.max(self.began));
-            let after = now.since(self.began);
-            began.push(PhaseStart { phase, after, answered: self.answered });
+            // A phase begins at the scheduled end of the one before, even if the process was suspended at that time.
+            (self.phase, self.phase_started_at) = (phase, phase_started_at.max(self.started_at));
+            let elapsed = now.since(self.started_at);
+            began.push(PhaseStart { phase, elapsed, peer_answered: self.peer_answered });
         }
         began
     }
 
-    /// When the phase ends; `None`: it lasts.
+    /// When the current phase ends; `None` if it is the last one.
     pub fn phase_end(&self) -> Option<Time> {
         match self.phase {
-            Phase::QueryingPeers if self.answered || !self.others => Some(self.since),
-            Phase::QueryingPeers => Some(self.began.plus(self.config.peer_query_timeout)),
-            Phase::WaitingForAttempts => Some(self.began.plus(self.config.resend_delay).max(self.since)),
-            Phase::RampingUp => Some(self.since.plus(self.config.ramp_up)),
+            Phase::QueryingPeers if self.peer_answered || !self.has_peers => Some(self.phase_started_at),
+            Phase::QueryingPeers => Some(self.started_at.plus(self.config.peer_query_timeout)),
+            Phase::WaitingForAttempts => {
+                Some(self.started_at.plus(self.config.resend_delay).max(self.phase_started_at))
+            }
+            Phase::RampingUp => Some(self.phase_started_at.plus(self.config.ramp_up)),
             Phase::Serving => None,
         }
     }
 
-    /// Whether a set-up that has just come is taken. While work rises, so many of all are that each in turn has its
-    /// chance.
+    /// Whether to admit a set-up that has just arrived. During the ramp-up the current share of the set-ups is
+    /// admitted, spread evenly over the arrivals.
     pub fn admits(&mut self, now: Time) -> bool {
         match self.phase {
             Phase::QueryingPeers | Phase::WaitingForAttempts => false,
             Phase::RampingUp => {
-                let first = self.config.initial_share.clamp(0.0, 1.0);
-                let risen = now.since(self.since).between(Span::default(), self.config.ramp_up);
-                self.credit += first + (1.0 - first) * risen;
-                let taken = self.credit >= 1.0;
-                self.credit -= f64::from(u8::from(taken));
-                taken
+                let initial = self.config.initial_share.clamp(0.0, 1.0);
+                let progress = now.since(self.phase_started_at).between(Span::default(), self.config.ramp_up);
+                self.admission_credit += initial + (1.0 - initial) * progress;
+                let admitted = self.admission_credit >= 1.0;
+                self.admission_credit -= f64::from(u8::from(admitted));
+                admitted
             }
             Phase::Serving => true,
         }
     }
 
-    /// Whether a call server that is cold is given work.
+    /// Whether set-ups may be sent to cold call servers.
     pub fn allows_cold_servers(&self) -> bool {
         self.phase == Phase::Serving
     }
 }
 
-/// What is done with a call that the records say stands.
+/// State of a call that the records list as established.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecoveredCallState {
-    /// Trusted: its call server is the one it was; the call stands until that says otherwise, dies or is silent.
+    /// Its call server has not restarted: the call is treated as established until the call server releases it, dies or
+    /// is silent.
     Established,
-    /// Its call server has started anew, or nobody lists it: the call is over, and its caller is owed the release.
+    /// Its call server has restarted, or is not listed: the call has ended, and the release must be sent to its caller.
     Ended,
-    /// Its call server is not listed yet: the list is waited for until then.
+    /// Its call server is not listed yet; the decision is made at this time at the latest.
     Undecided(Time),
 }
 
-/// The fate of a call that the records say stands at a call server born at `born_ms`, where a list (the records' own at
-/// first, then the directories') says that the one of this name was born at `listed`, and the process began at `began`.
-/// What else a list says does not matter: it is seconds late and may be wrong, and a call at a call server that drains or
-/// is listed as gone ends when that says so, dies or is silent, as for a controller that was at work all the while.
+/// Determines the state of a call that the records list as established at a call server started at `recorded_start_ms`.
+/// `listed_start_ms` is the start time of the call server of the same name according to a directory (at first the one
+/// in the records), and `started_at` is when this process started. The listed state is not considered, since a
+/// directory is seconds late and may be wrong: as in a controller that did not restart, a call at a call server that is
+/// listed as draining or gone ends when the call server releases it, dies or is silent.
 pub fn recovered_call_state(
     config: &RecoveryConfig,
-    began: Time,
+    started_at: Time,
     now: Time,
-    born_ms: u64,
-    listed: Option<u64>,
+    recorded_start_ms: u64,
+    listed_start_ms: Option<u64>,
 ) -> RecoveredCallState {
-    let until = began.plus(config.directory_timeout);
-    match listed {
-        Some(born) if born != born_ms => RecoveredCallState::Ended,
+    let until = started_at.plus(config.directory_timeout);
+    match listed_start_ms {
+        Some(start_ms) if start_ms != recorded_start_ms => RecoveredCallState::Ended,
         Some(_) => RecoveredCallState::Established,
         None if now < until => RecoveredCallState::Undecided(until),
         None => RecoveredCallState::Ended,
@@ -211,62 +218,62 @@
         Time(3_000_000_000 + ms * 1_000)
     }
 
-    /// The phases and when they began, looked at every 10 ms for 10 s.
-    fn phases(others: bool, answer_at: Option<u64>) -> Vec<(u64, Phase)> {
-        let mut recovery = Recovery::new(RecoveryConfig::default(), at(0), others);
-        let mut seen = Vec::new();
+    /// The phases and when they began in ms, checked every 10 ms for 10 s.
+    fn phases(has_peers: bool, answer_at: Option<u64>) -> Vec<(u64, Phase)> {
+        let mut recovery = Recovery::new(RecoveryConfig::default(), at(0), has_peers);
+        let mut phases = Vec::new();
         for ms in (0..10_000).step_by(10) {
             if answer_at == Some(ms) {
                 recovery.record_peer_answer();
             }
-            seen.extend(recovery.advance(at(ms)).into_iter().map(|b| (b.after.0 / 1_000, b.phase)));
+            phases.extend(recovery.advance(at(ms)).into_iter().map(|b| (b.elapsed.0 / 1_000, b.phase)));
             assert_eq!(recovery.phase() < Phase::RampingUp, !recovery.admits(at(ms)) && ms < 500, "{ms}");
         }
-        seen
+        phases
     }
 
     #[test]
-    fn service_returns_in_order_and_at_once_where_the_fleet_is_at_work() {
-        let (holding, rising, serving) = (Phase::WaitingForAttempts, Phase::RampingUp, Phase::Serving);
-        assert_eq!(phases(false, None), [(0, holding), (500, rising), (3_500, serving)]);
-        assert_eq!(phases(true, None), [(300, holding), (500, rising), (3_500, serving)]);
-        assert_eq!(phases(true, Some(40)), [(40, holding), (500, serving)]);
-        // An answer that comes while work rises changes nothing: the others have just come back too.
-        assert_eq!(phases(true, Some(700)), [(300, holding), (500, rising), (3_500, serving)]);
+    fn phases_follow_in_order_and_the_ramp_up_is_skipped_if_a_peer_has_answered() {
+        let (waiting, ramping_up, serving) = (Phase::WaitingForAttempts, Phase::RampingUp, Phase::Serving);
+        assert_eq!(phases(false, None), [(0, waiting), (500, ramping_up), (3_500, serving)]);
+        assert_eq!(phases(true, None), [(300, waiting), (500, ramping_up), (3_500, serving)]);
+        assert_eq!(phases(true, Some(40)), [(40, waiting), (500, serving)]);
+        // An answer during the ramp-up changes nothing: the peers have just recovered, too.
+        assert_eq!(phases(true, Some(700)), [(300, waiting), (500, ramping_up), (3_500, serving)]);
     }
 
     #[test]
-    fn work_rises_from_a_quarter_to_all_of_it() {
+    fn the_admitted_share_rises_from_a_quarter_to_all_set_ups() {
         let mut recovery = Recovery::new(RecoveryConfig::default(), at(0), false);
-        let mut taken = Vec::new();
+        let mut admitted = Vec::new();
         for second in 0..4u64 {
             let mut count = 0;
             for ms in 0..1_000 {
                 recovery.advance(at(500 + second * 1_000 + ms));
                 count += u32::from(recovery.admits(at(500 + second * 1_000 + ms)));
             }
-            taken.push(count);
+            admitted.push(count);
         }
-        // Of a thousand a second: the means of 0.25 to 0.5, 0.5 to 0.75, 0.75 to 1, then all.
-        for (got, wanted) in taken.iter().zip([375, 625, 875, 1_000]) {
-            assert!(got.abs_diff(wanted) <= 2, "{taken:?}");
+        // At 1,000 set-ups per second: the means of 0.25 to 0.5, 0.5 to 0.75 and 0.75 to 1, then all.
+        for (got, wanted) in admitted.iter().zip([375, 625, 875, 1_000]) {
+            assert!(got.abs_diff(wanted) <= 2, "{admitted:?}");
         }
     }
 
     #[test]
-    fn one_that_stood_still_right_after_its_start_does_not_skip_the_rise() {
+    fn a_process_suspended_for_longer_than_the_recovery_resumes_at_full_service() {
         let mut recovery = Recovery::new(RecoveryConfig::default(), at(0), true);
         let began = recovery.advance(at(9_000));
         assert_eq!(began.last().map(|b| b.phase), Some(Phase::Serving));
-        assert!(recovery.admits(at(9_000)), "nine seconds are enough for all that was out");
+        assert!(recovery.admits(at(9_000)), "all phases have ended after nine seconds");
     }
 
     #[rstest]
-    #[case::the_same(Some(7), 100, RecoveredCallState::Established)]
-    #[case::started_anew(Some(8), 100, RecoveredCallState::Ended)]
+    #[case::same_process(Some(7), 100, RecoveredCallState::Established)]
+    #[case::restarted(Some(8), 100, RecoveredCallState::Ended)]
     #[case::not_listed_yet(None, 100, RecoveredCallState::Undecided(at(6_000)))]
-    #[case::not_listed_for_long(None, 6_000, RecoveredCallState::Ended)]
-    fn what_becomes_of_a_call_that_stood(
+    #[case::not_listed_in_time(None, 6_000, RecoveredCallState::Ended)]
+    fn recorded_calls_are_classified_by_the_listed_start_of_their_call_server(
         #[case] listed: Option<u64>,
         #[case] now: u64,
         #[case] wanted: RecoveredCallState,
--- a/src/recovery/records.rs
+++ b/src/recovery/records.rs
@@ -1,139 +1,143 @@
-//! What a controller keeps over the end of its process, as keys and values. Calls under `call/`, lines of the list under
-//! `list/`. Values are MessagePack arrays; one that cannot be read is left out and counted, and nothing else is lost.
+//! Records that a controller persists for the next run of its process, as keys and values: calls under `call/`,
+//! directory entries under `list/`. Values are MessagePack arrays. A value that cannot be decoded is skipped and
+//! counted; all others stay usable.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::{HostLine, Sid, Source};
 use crate::interface::{Span, Time};
 
-const CALL: &[u8] = b"call/";
-const LIST: &[u8] = b"list/";
+const CALL_PREFIX: &[u8] = b"call/";
+const DIRECTORY_PREFIX: &[u8] = b"list/";
 
-/// A call that stands.
+/// An established call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
     /// The call server's host name.
     pub host: String,
-    /// When that call server had started, as the list said; in Unix milliseconds, 0 for long past.
+    /// When that call server started according to the directory, in Unix milliseconds; 0 if long ago.
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
-    /// The number called, which a release from this side names.
+    /// The number called; a release sent by the controller contains it.
     pub number: String,
-    /// Since when it stands, in Unix milliseconds.
+    /// When it was established, in Unix milliseconds.
     pub since_ms: u64,
-    /// Whether its caller is a leg of IAX2, which ends with the process.
+    /// Whether the caller's side is an IAX2 call leg, which ends with the process.
     pub leg: bool,
 }
 
-/// What is kept of a call.
+/// The stored value of a call. Variants are serialized under the names of earlier releases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-enum Kept {
-    Stands(CallRecord),
-    Owed(u16),
+enum StoredCall {
+    #[serde(rename = "Stands")]
+    Established(CallRecord),
+    /// The cause of a release that is still to be sent to the caller.
+    #[serde(rename = "Owed")]
+    PendingRelease(u16),
 }
 
-/// A line of the list.
+/// A directory entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryRecord {
-    /// Who told it.
+    /// The directory that listed it.
     pub source: Source,
-    /// The line.
+    /// The entry.
     #[serde(rename = "line")]
     pub entry: HostLine,
-    /// When it was told, in Unix milliseconds.
+    /// When it was received, in Unix milliseconds.
     #[serde(rename = "told_ms")]
     pub listed_ms: u64,
 }
 
-/// A change of what is kept.
+/// A change of the records.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordChange {
-    /// A call stands.
+    /// A call was established.
     CallEstablished(Sid, CallRecord),
-    /// A call is over, and its caller is owed the release, with this cause: nobody is there to hear it.
+    /// A call has ended, and its release with this cause is pending because no client connection can take it.
     ReleasePending(Sid, u16),
-    /// A call is over, and its release is on its way or given up.
+    /// A call has ended, and its release was sent, was abandoned or is not needed.
     CallEnded(Sid),
-    /// The list says something of a call server.
+    /// A directory has listed a call server.
     ServerListed(DirectoryRecord),
-    /// A call server is forgotten.
+    /// A call server was removed.
     ServerForgotten(Source, String),
 }
 
 fn call_key(sid: Sid) -> Vec<u8> {
-    [CALL, &sid.0].concat()
+    [CALL_PREFIX, &sid.0].concat()
 }
 
-fn line_key(source: Source, host: &str) -> Vec<u8> {
+fn directory_key(source: Source, host: &str) -> Vec<u8> {
     let source = match source {
         Source::Bulletin => "bulletin/",
         Source::DnsSd => "dns-sd/",
         Source::Registered => "registered/",
     };
-    [LIST, source.as_bytes(), host.as_bytes()].concat()
+    [DIRECTORY_PREFIX, source.as_bytes(), host.as_bytes()].concat()
 }
 
 impl RecordChange {
-    /// The key that changes, and its new value; `None`: it has none any more.
+    /// The key that changes and its new value; `None` if the key is removed.
     pub fn encoded(&self) -> (Vec<u8>, Option<Vec<u8>>) {
         match self {
             RecordChange::CallEstablished(sid, call) => {
-                (call_key(*sid), rmp_serde::to_vec(&Kept::Stands(call.clone())).ok())
+                (call_key(*sid), rmp_serde::to_vec(&StoredCall::Established(call.clone())).ok())
             }
             RecordChange::ReleasePending(sid, cause) => {
-                (call_key(*sid), rmp_serde::to_vec(&Kept::Owed(*cause)).ok())
+                (call_key(*sid), rmp_serde::to_vec(&StoredCall::PendingRelease(*cause)).ok())
             }
             RecordChange::CallEnded(sid) => (call_key(*sid), None),
-            RecordChange::ServerListed(kept) => {
-                (line_key(kept.source, &kept.entry.host), rmp_serde::to_vec(kept).ok())
+            RecordChange::ServerListed(record) => {
+                (directory_key(record.source, &record.entry.host), rmp_serde::to_vec(record).ok())
             }
-            RecordChange::ServerForgotten(source, host) => (line_key(*source, host), None),
+            RecordChange::ServerForgotten(source, host) => (directory_key(*source, host), None),
         }
     }
 }
 
-/// What the records hold.
+/// The decoded records.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Records {
-    /// Calls that stood.
+    /// Calls that were established.
     pub calls: Vec<(Sid, CallRecord)>,
-    /// Releases that callers were owed, with their causes.
+    /// Pending releases, with their causes.
     pub pending_releases: Vec<(Sid, u16)>,
-    /// The list as last told.
+    /// The last known directory entries.
     pub directory: Vec<DirectoryRecord>,
-    /// Records that cannot be read.
+    /// Number of records that could not be decoded.
     pub unreadable: usize,
 }
 
 impl Records {
-    /// Reads the items of a store.
+    /// Decodes the items of a store.
     pub fn read<'a>(items: impl IntoIterator<Item = (&'a [u8], &'a [u8])>) -> Records {
-        let mut found = Records::default();
+        let mut records = Records::default();
         for (key, value) in items {
-            let read = if let Some(sid) = key.strip_prefix(CALL) {
+            let decoded = if let Some(sid) = key.strip_prefix(CALL_PREFIX) {
                 let sid = std::str::from_utf8(sid).ok().and_then(Sid::parse);
-                sid.zip(rmp_serde::from_slice(value).ok()).map(|(sid, kept)| match kept {
-                    Kept::Stands(call) => found.calls.push((sid, call)),
-                    Kept::Owed(cause) => found.pending_releases.push((sid, cause)),
+                sid.zip(rmp_serde::from_slice(value).ok()).map(|(sid, call)| match call {
+                    StoredCall::Established(call) => records.calls.push((sid, call)),
+                    StoredCall::PendingRelease(cause) => records.pending_releases.push((sid, cause)),
                 })
-            } else if key.starts_with(LIST) {
-                rmp_serde::from_slice(value).ok().map(|kept| found.directory.push(kept))
+            } else if key.starts_with(DIRECTORY_PREFIX) {
+                rmp_serde::from_slice(value).ok().map(|record| records.directory.push(record))
             } else {
                 None
             };
-            found.unreadable += usize::from(read.is_none());
+            records.unreadable += usize::from(decoded.is_none());
         }
-        found
+        records
     }
 
-    /// The lines that still count at `now`: a `ready` older than `age` says nothing.
-    pub fn current_entries(&self, now: Time, age: Span) -> impl Iterator<Item = &DirectoryRecord> {
+    /// The entries still valid at `now`. Entries with the state `ready` expire at `max_age`; the others do not expire.
+    pub fn current_entries(&self, now: Time, max_age: Span) -> impl Iterator<Item = &DirectoryRecord> {
         use crate::interface::ServerState;
-        let fresh = move |kept: &&DirectoryRecord| {
-            kept.entry.state != ServerState::Ready
-                || now.since(Time(kept.listed_ms.saturating_mul(1_000))) < age
+        let is_current = move |record: &&DirectoryRecord| {
+            record.entry.state != ServerState::Ready
+                || now.since(Time(record.listed_ms.saturating_mul(1_000))) < max_age
         };
-        self.directory.iter().filter(fresh)
+        self.directory.iter().filter(is_current)
     }
 }
 
@@ -147,9 +151,9 @@
     use crate::core::Protocol;
     use crate::interface::{Cell, ServerState};
 
-    fn line(host: &str, state: ServerState, told_ms: u64) -> DirectoryRecord {
+    fn record(host: &str, state: ServerState, listed_ms: u64) -> DirectoryRecord {
         let dial = SocketAddr::from(([127, 0, 0, 1], 7000));
-        let line = HostLine {
+        let entry = HostLine {
             host: host.to_owned(),
             dial,
             protocol: Protocol::Sip,
@@ -158,23 +162,23 @@
             born_ms: 5,
             state,
         };
-        DirectoryRecord { source: Source::Bulletin, entry: line, listed_ms: told_ms }
+        DirectoryRecord { source: Source::Bulletin, entry, listed_ms }
     }
 
     #[test]
-    fn what_is_kept_is_found_again_and_what_has_ended_is_not() {
+    fn records_round_trip_and_those_of_ended_calls_are_removed() {
         let call =
             CallRecord { host: "s0".into(), started_ms: 9, number: "7f".into(), since_ms: 1_000, leg: false };
-        let (one, other, third) = (Sid::numbered(1), Sid::numbered(2), Sid::numbered(3));
-        let kept = line("s0", ServerState::Ready, 77);
+        let (first, second, third) = (Sid::numbered(1), Sid::numbered(2), Sid::numbered(3));
+        let entry = record("s0", ServerState::Ready, 77);
         let changes = [
-            RecordChange::CallEstablished(one, call.clone()),
-            RecordChange::CallEstablished(other, call.clone()),
-            RecordChange::CallEnded(other),
+            RecordChange::CallEstablished(first, call.clone()),
+            RecordChange::CallEstablished(second, call.clone()),
+            RecordChange::CallEnded(second),
             RecordChange::CallEstablished(third, call.clone()),
             RecordChange::ReleasePending(third, 41),
-            RecordChange::ServerListed(line("s1", ServerState::Ready, 5)),
-            RecordChange::ServerListed(kept.clone()),
+            RecordChange::ServerListed(record("s1", ServerState::Ready, 5)),
+            RecordChange::ServerListed(entry.clone()),
             RecordChange::ServerForgotten(Source::Bulletin, "s1".into()),
         ];
         let mut items = std::collections::BTreeMap::new();
@@ -184,36 +188,36 @@
                 None => drop(items.remove(&key)),
             }
         }
-        let found = Records::read(items.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
-        let (calls, owed, list) = (vec![(one, call)], vec![(third, 41)], vec![kept]);
-        assert_eq!(found, Records { calls, pending_releases: owed, directory: list, unreadable: 0 });
+        let records = Records::read(items.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
+        let (calls, pending_releases, directory) = (vec![(first, call)], vec![(third, 41)], vec![entry]);
+        assert_eq!(records, Records { calls, pending_releases, directory, unreadable: 0 });
     }
 
     #[test]
-    fn an_old_line_says_nothing_of_who_is_ready_but_who_drained_is_known() {
-        let list = vec![
-            line("old", ServerState::Ready, 1_000),
-            line("new", ServerState::Ready, 90_000),
-            line("drains", ServerState::Draining, 1_000),
+    fn old_entries_expire_only_if_their_state_is_ready() {
+        let directory = vec![
+            record("old", ServerState::Ready, 1_000),
+            record("new", ServerState::Ready, 90_000),
+            record("drains", ServerState::Draining, 1_000),
         ];
-        let found = Records { directory: list, ..Records::default() };
-        let hosts: Vec<&str> = found
+        let records = Records { directory, ..Records::default() };
+        let hosts: Vec<&str> = records
             .current_entries(Time(100_000_000), Span::from_millis(60_000))
-            .map(|kept| kept.entry.host.as_str())
+            .map(|record| record.entry.host.as_str())
             .collect();
         assert_eq!(hosts, ["new", "drains"]);
     }
 
     proptest! {
         #[test]
-        fn any_bytes_are_read_or_left_out(items in proptest::collection::vec((any::<Vec<u8>>(), any::<Vec<u8>>()), 0..40)) {
+        fn arbitrary_bytes_are_decoded_or_counted_as_unreadable(items in proptest::collection::vec((any::<Vec<u8>>(), any::<Vec<u8>>()), 0..40)) {
             let keys = items.iter().enumerate().map(|(n, (key, value))| {
-                let begins: &[u8] = [CALL, LIST, b""][n % 3];
-                ([begins, key].concat(), value)
+                let prefix: &[u8] = [CALL_PREFIX, DIRECTORY_PREFIX, b""][n % 3];
+                ([prefix, key].concat(), value)
             });
             let keyed: Vec<(Vec<u8>, &Vec<u8>)> = keys.collect();
-            let found = Records::read(keyed.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
-            prop_assert_eq!(found.calls.len() + found.pending_releases.len() + found.directory.len() + found.unreadable, items.len());
+            let records = Records::read(keyed.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
+            prop_assert_eq!(records.calls.len() + records.pending_releases.len() + records.directory.len() + records.unreadable, items.len());
         }
     }
 }
