--- a/crates/lockpoint-store/src/lib.rs
+++ b/crates/lockpoint-store/src/lib.rs
@@ -1,6 +1,7 @@
-//! What a lockpoint controller keeps over a power loss: an ordered table of keys and values, changed in batches that are
-//! there whole or not at all. On [`redb`]; every read and write passes its [`redb::StorageBackend`], so that a simulated
-//! disk ([`sim::SimDisk`]) takes the place of the file in tests. `docs/recovery.md` weighs the ways.
+//! Durable storage for a lockpoint controller that survives a power loss: an ordered table of keys and values, changed
+//! in atomic batches. It is based on [`redb`]. Every read and write passes through its [`redb::StorageBackend`], so
+//! that tests can replace the file by a simulated disk ([`sim::SimDisk`]). `docs/recovery.md` compares the
+//! alternatives.
 //!
 //! ```
 //! use lockpoint_store::{Batch, Durability, Store};
@@ -30,31 +31,31 @@
 
 const ITEMS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("items");
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Of what this crate puts into the file.
-const VERSION: u64 = 1;
-/// Memory for pages, in bytes: what a controller keeps fits.
-const CACHE: usize = 4 << 20;
+/// Version of the tables that this crate stores in the file.
+const FORMAT_VERSION: u64 = 1;
+/// Page cache size; a controller's records fit into it.
+const CACHE_BYTES: usize = 4 << 20;
 
-/// A store that cannot be used, or a change that is not known to be kept.
+/// The store cannot be used, or it is unknown whether a change was persisted.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another process has it open.
+    /// Another process has the store open.
     #[error("{}: another process has it open", path.display())]
     InUse {
-        /// Which file.
+        /// The store's file.
         path: PathBuf,
     },
-    /// It was written by another version.
-    #[error("version {found} of the store, where {VERSION} is known")]
+    /// The store was written by an incompatible version.
+    #[error("unsupported store version {found}, expected {FORMAT_VERSION}")]
     Version {
-        /// The version that it has.
+        /// The version found in the store.
         found: u64,
     },
-    /// An earlier write or sync failed: nobody knows what of it is kept. Only opening it anew tells.
-    #[error("an earlier write failed; open the store anew")]
+    /// An earlier write or sync failed, and it is unknown which part of it was persisted. The store has to be reopened.
+    #[error("an earlier write failed; the store must be reopened")]
     Failed,
-    /// The file cannot be read or written, or its checksums do not fit.
-    #[error("the store: {0}")]
+    /// The file cannot be read or written, or its checksums do not match.
+    #[error("store: {0}")]
     Storage(String),
 }
 
@@ -62,33 +63,34 @@
     StoreError::Storage(error.to_string())
 }
 
-/// When a commit counts as done.
+/// When a commit is considered complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Durability {
-    /// It is in memory. A power loss takes it back, and all that came after the last synced one with it, in order.
+    /// Once it is in memory. A power loss may undo it together with every other commit after the last synced one; the
+    /// commits that survive are always the earliest ones.
     Deferred,
-    /// It is on the disk, and all before it.
+    /// Once it and all commits before it are on the disk.
     Synced,
 }
 
-/// Changes that are kept together. Of two changes of one key the later counts.
+/// Changes that are committed atomically. The last of several changes of one key applies.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch(BTreeMap<Vec<u8>, Option<Vec<u8>>>);
 
 impl Batch {
-    /// This key has this value from now on.
+    /// Sets the value of a key.
     pub fn put(&mut self, key: &[u8], value: &[u8]) {
         self.0.insert(key.to_vec(), Some(value.to_vec()));
     }
-    /// This key has none.
+    /// Removes a key and its value.
     pub fn remove(&mut self, key: &[u8]) {
         self.0.insert(key.to_vec(), None);
     }
-    /// How many keys it changes.
+    /// Number of keys that the batch changes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
-    /// Whether it changes nothing.
+    /// Whether the batch changes nothing.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -101,20 +103,20 @@
 /// A key and its value.
 pub type Item = (Vec<u8>, Vec<u8>);
 
-/// What there is to say of a store.
+/// Statistics of a store.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Info {
-    /// Batches committed since it was made.
+    /// Batches committed since the store was created.
     pub sequence: u64,
-    /// Keys that have a value.
+    /// Number of keys.
     pub items: u64,
     /// Bytes of keys and values.
     pub stored_bytes: u64,
-    /// Bytes that the file takes beyond them: pages not full, old pages, the tree itself.
+    /// Bytes of the file that are used otherwise: unused parts of pages, old pages and the tree structure.
     pub overhead_bytes: u64,
 }
 
-/// An open store. It is one process's: a second one is refused.
+/// An open store. Only one process can have it open; opening it a second time fails.
 #[derive(Debug)]
 pub struct Store {
     db: Database,
@@ -123,56 +125,58 @@
 }
 
 impl Store {
-    /// Opens the store in this file, or makes it. One that was not closed in order is brought back to its last synced
-    /// commit, or a later one that is there whole.
+    /// Opens the store in this file, or creates it. A store that was not closed properly is restored to its last synced
+    /// commit, or to a later one that is complete.
     pub fn open(path: &Path) -> Result<Store, StoreError> {
         if !path.exists() {
-            Store::make(path)?;
+            Store::create(path)?;
         }
-        let opened = Database::builder().set_cache_size(CACHE).create(path);
+        let opened = Database::builder().set_cache_size(CACHE_BYTES).create(path);
         let db = opened.map_err(|error| match error {
             redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse { path: path.to_owned() },
             other => StoreError::Storage(format!("{}: {other}", path.display())),
         })?;
-        Store::of(db)
+        Store::from_database(db)
     }
 
-    /// Makes an empty store beside its place and moves it there. Guards against a power loss in the midst of the first
-    /// writes, which leaves a file that is no store yet.
-    fn make(path: &Path) -> Result<(), StoreError> {
-        let fail = |error: std::io::Error| StoreError::Storage(format!("{}: {error}", path.display()));
-        let mut beside = path.as_os_str().to_owned();
-        beside.push(".new");
-        let beside = PathBuf::from(beside);
-        if beside.exists() {
-            std::fs::remove_file(&beside).map_err(fail)?;
+    /// Creates an empty store in a temporary file and renames it. Otherwise a power loss during the first writes would
+    /// leave a file that is not a valid store.
+    fn create(path: &Path) -> Result<(), StoreError> {
+        let io_error = |error: std::io::Error| StoreError::Storage(format!("{}: {error}", path.display()));
+        let mut temporary = path.as_os_str().to_owned();
+        temporary.push(".new");
+        let temporary = PathBuf::from(temporary);
+        if temporary.exists() {
+            std::fs::remove_file(&temporary).map_err(io_error)?;
         }
-        let db = Database::builder().create(&beside);
-        drop(Store::of(db.map_err(|error| StoreError::Storage(format!("{}: {error}", beside.display())))?)?);
-        std::fs::rename(&beside, path).map_err(fail)?;
-        let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
-        std::fs::File::open(folder.unwrap_or(Path::new(".")))
-            .and_then(|folder| folder.sync_all())
-            .map_err(fail)
+        let db = Database::builder().create(&temporary);
+        drop(Store::from_database(
+            db.map_err(|error| StoreError::Storage(format!("{}: {error}", temporary.display())))?,
+        )?);
+        std::fs::rename(&temporary, path).map_err(io_error)?;
+        let directory = path.parent().filter(|directory| !directory.as_os_str().is_empty());
+        std::fs::File::open(directory.unwrap_or(Path::new(".")))
+            .and_then(|directory| directory.sync_all())
+            .map_err(io_error)
     }
 
-    /// The same on something else than a file.
+    /// Opens or creates a store on another storage backend than a file.
     pub fn with_backend(disk: impl StorageBackend) -> Result<Store, StoreError> {
-        let db = Database::builder().set_cache_size(CACHE).create_with_backend(disk);
-        Store::of(db.map_err(storage)?)
+        let db = Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(disk);
+        Store::from_database(db.map_err(storage)?)
     }
 
-    fn of(db: Database) -> Result<Store, StoreError> {
+    fn from_database(db: Database) -> Result<Store, StoreError> {
         let sequence = {
-            let reading = db.begin_read().map_err(storage)?;
-            match reading.open_table(META) {
+            let transaction = db.begin_read().map_err(storage)?;
+            match transaction.open_table(META) {
                 Ok(meta) => {
-                    let figure = |name| meta.get(name).map(|found| found.map_or(0, |value| value.value()));
-                    let found = figure("version").map_err(storage)?;
-                    if found != VERSION {
+                    let number = |name| meta.get(name).map(|found| found.map_or(0, |value| value.value()));
+                    let found = number("version").map_err(storage)?;
+                    if found != FORMAT_VERSION {
                         return Err(StoreError::Version { found });
                     }
-                    Some(figure("sequence").map_err(storage)?)
+                    Some(number("sequence").map_err(storage)?)
                 }
                 Err(redb::TableError::TableDoesNotExist(_)) => None,
                 Err(error) => return Err(storage(error)),
@@ -190,8 +194,8 @@
         self.sequence
     }
 
-    /// Keeps a batch; its number. An error of the disk is not tried again: what was written then may be kept or not,
-    /// and every later call is refused until the store is opened anew.
+    /// Commits a batch and returns its sequence number. After a disk error the batch may or may not have been
+    /// persisted. The write is not retried, and every later commit fails until the store is reopened.
     pub fn commit(&mut self, batch: &Batch, durability: Durability) -> Result<u64, StoreError> {
         if self.failed {
             return Err(StoreError::Failed);
@@ -203,35 +207,35 @@
     }
 
     fn write(&mut self, batch: &Batch, durability: Durability, sequence: u64) -> Result<(), StoreError> {
-        let mut writing = self.db.begin_write().map_err(storage)?;
-        let durable = match durability {
+        let mut transaction = self.db.begin_write().map_err(storage)?;
+        let durability = match durability {
             Durability::Deferred => redb::Durability::None,
             Durability::Synced => redb::Durability::Immediate,
         };
-        writing.set_durability(durable).map_err(storage)?;
+        transaction.set_durability(durability).map_err(storage)?;
         {
-            let mut items = writing.open_table(ITEMS).map_err(storage)?;
+            let mut items = transaction.open_table(ITEMS).map_err(storage)?;
             for (key, value) in &batch.0 {
                 match value {
                     Some(value) => drop(items.insert(key.as_slice(), value.as_slice()).map_err(storage)?),
                     None => drop(items.remove(key.as_slice()).map_err(storage)?),
                 }
             }
-            let mut meta = writing.open_table(META).map_err(storage)?;
-            meta.insert("version", VERSION).map_err(storage)?;
+            let mut meta = transaction.open_table(META).map_err(storage)?;
+            meta.insert("version", FORMAT_VERSION).map_err(storage)?;
             meta.insert("sequence", sequence).map_err(storage)?;
         }
-        writing.commit().map_err(storage)
+        transaction.commit().map_err(storage)
     }
 
-    /// All keys that begin so, in order, with their values.
-    pub fn scan(&self, begins: &[u8]) -> Result<Vec<Item>, StoreError> {
-        let reading = self.db.begin_read().map_err(storage)?;
-        let items = reading.open_table(ITEMS).map_err(storage)?;
+    /// All keys with this prefix, in order, with their values.
+    pub fn scan(&self, prefix: &[u8]) -> Result<Vec<Item>, StoreError> {
+        let transaction = self.db.begin_read().map_err(storage)?;
+        let items = transaction.open_table(ITEMS).map_err(storage)?;
         let mut found = Vec::new();
-        for item in items.range(begins..).map_err(storage)? {
+        for item in items.range(prefix..).map_err(storage)? {
             let (key, value) = item.map_err(storage)?;
-            if !key.value().starts_with(begins) {
+            if !key.value().starts_with(prefix) {
                 break;
             }
             found.push((key.value().to_vec(), value.value().to_vec()));
@@ -239,12 +243,13 @@
         Ok(found)
     }
 
-    /// Whether all checksums fit. What does not fit is brought back to the last state that does.
+    /// Checks all checksums. If any does not match, the store is restored to its last valid state and `false` is
+    /// returned.
     pub fn verify(&mut self) -> Result<bool, StoreError> {
         self.db.check_integrity().map_err(storage)
     }
 
-    /// Gives back the room of pages that are used no more. Crash-safe, like a commit.
+    /// Releases the space of unused pages. Crash-safe, like a commit.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
         if self.failed {
             return Err(StoreError::Failed);
@@ -252,12 +257,12 @@
         self.db.compact().map_err(storage).inspect_err(|_| self.failed = true)
     }
 
-    /// What there is to say of it.
+    /// Collects statistics.
     pub fn info(&self) -> Result<Info, StoreError> {
         let items = self.scan(b"")?;
-        let writing = self.db.begin_write().map_err(storage)?;
-        let stats = writing.stats().map_err(storage)?;
-        writing.abort().map_err(storage)?;
+        let transaction = self.db.begin_write().map_err(storage)?;
+        let stats = transaction.stats().map_err(storage)?;
+        transaction.abort().map_err(storage)?;
         Ok(Info {
             sequence: self.sequence,
             items: items.len() as u64,
--- a/crates/lockpoint-store/src/sim.rs
+++ b/crates/lockpoint-store/src/sim.rs
@@ -1,11 +1,11 @@
-//! A disk in memory that loses power: what was not synced may be kept, lost or torn, write by write, by a seed.
+//! A simulated disk in memory with power loss: each write that was not synced may be kept, lost or torn.
 
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use redb::StorageBackend;
 
-/// A disk keeps a write in pieces of this size at best.
+/// Size in bytes of the largest unit that the disk writes atomically.
 const SECTOR: usize = 512;
 
 #[derive(Debug, Clone)]
@@ -16,28 +16,29 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// What is kept for certain.
-    kept: Vec<u8>,
-    /// What the process sees.
-    seen: Vec<u8>,
-    /// What was changed since the last sync, in order.
+    /// Contents that survive a power loss.
+    durable: Vec<u8>,
+    /// Contents as read by the process.
+    current: Vec<u8>,
+    /// Changes since the last sync, in order.
     unsynced: Vec<Change>,
-    /// Reads, writes, changes of length and syncs so far.
-    done: u64,
-    /// The one that fails, and all after it.
-    fails_at: Option<u64>,
+    /// Number of reads, writes, length changes and syncs so far.
+    operations: u64,
+    /// Number of the operation from which on all fail.
+    fail_from: Option<u64>,
 }
 
-/// A disk in memory. Clones are the same disk.
+/// A simulated disk. Clones share the same contents.
 #[derive(Debug, Clone, Default)]
 pub struct SimDisk(Arc<Mutex<Inner>>);
 
-fn apply(image: &mut Vec<u8>, change: &Change, keeps: usize) {
+/// Applies a change to an image; of a write only the first `max_bytes` bytes.
+fn apply(image: &mut Vec<u8>, change: &Change, max_bytes: usize) {
     match change {
         Change::Length(length) => image.resize(usize::try_from(*length).unwrap_or(usize::MAX), 0),
         Change::Write(at, bytes) => {
             let at = usize::try_from(*at).unwrap_or(usize::MAX);
-            let bytes = &bytes[..keeps.min(bytes.len())];
+            let bytes = &bytes[..max_bytes.min(bytes.len())];
             if image.len() < at + bytes.len() {
                 image.resize(at + bytes.len(), 0);
             }
@@ -47,36 +48,36 @@
 }
 
 impl SimDisk {
-    /// A disk that holds these bytes.
+    /// Creates a disk with these contents.
     pub fn from_image(bytes: Vec<u8>) -> SimDisk {
-        SimDisk(Arc::new(Mutex::new(Inner { seen: bytes.clone(), kept: bytes, ..Inner::default() })))
+        SimDisk(Arc::new(Mutex::new(Inner { current: bytes.clone(), durable: bytes, ..Inner::default() })))
     }
 
-    /// What a process sees now, as if all of it were kept.
+    /// The current contents, including changes that are not synced.
     pub fn image(&self) -> Vec<u8> {
-        self.with(|inner| inner.seen.clone())
+        self.with(|inner| inner.current.clone())
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
         work(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The operation of this number, from 0 on, and all after it fail.
-    pub fn fail_at(&self, operation: u64) {
-        self.with(|inner| inner.fails_at = Some(operation));
+    /// Makes the operation with this number, counted from 0, and all later ones fail.
+    pub fn fail_from(&self, operation: u64) {
+        self.with(|inner| inner.fail_from = Some(operation));
     }
 
-    /// Operations done so far.
+    /// Number of operations so far.
     pub fn operations(&self) -> u64 {
-        self.with(|inner| inner.done)
+        self.with(|inner| inner.operations)
     }
 
-    /// Changes that are not synced.
+    /// Number of changes that are not synced.
     pub fn unsynced_changes(&self) -> usize {
         self.with(|inner| inner.unsynced.len())
     }
 
-    /// The bytes of the last change that is not synced.
+    /// Length in bytes of the last change that is not synced; 0 if it is not a write.
     pub fn last_write_len(&self) -> usize {
         self.with(|inner| match inner.unsynced.last() {
             Some(Change::Write(_, bytes)) => bytes.len(),
@@ -84,15 +85,16 @@
         })
     }
 
-    /// The power goes: a disk that holds what was synced, and of each later change what `keeps` says: `None` nothing,
-    /// `Some` so many bytes of it from its front, in whole sectors but for the last change.
-    pub fn power_loss(&self, mut keeps: impl FnMut(usize) -> Option<usize>) -> SimDisk {
+    /// Simulates a power loss. Returns a disk with the synced contents and, of each later change, what `kept_bytes`
+    /// returns for its index: nothing for `None`, otherwise that many bytes from its start, rounded up to whole sectors
+    /// except for the last change.
+    pub fn power_loss(&self, mut kept_bytes: impl FnMut(usize) -> Option<usize>) -> SimDisk {
         self.with(|inner| {
-            let mut image = inner.kept.clone();
+            let mut image = inner.durable.clone();
             let last = inner.unsynced.len().saturating_sub(1);
-            for (no, change) in inner.unsynced.iter().enumerate() {
-                let Some(bytes) = keeps(no) else { continue };
-                let bytes = if no == last { bytes } else { bytes.div_ceil(SECTOR).saturating_mul(SECTOR) };
+            for (index, change) in inner.unsynced.iter().enumerate() {
+                let Some(bytes) = kept_bytes(index) else { continue };
+                let bytes = if index == last { bytes } else { bytes.div_ceil(SECTOR).saturating_mul(SECTOR) };
                 apply(&mut image, change, bytes);
             }
             SimDisk::from_image(image)
@@ -101,10 +103,10 @@
 
     fn operation<T>(&self, work: impl FnOnce(&mut Inner) -> io::Result<T>) -> io::Result<T> {
         self.with(|inner| {
-            if inner.fails_at.is_some_and(|at| inner.done >= at) {
-                return Err(io::Error::other("the power is gone"));
+            if inner.fail_from.is_some_and(|at| inner.operations >= at) {
+                return Err(io::Error::other("simulated power loss"));
             }
-            inner.done += 1;
+            inner.operations += 1;
             work(inner)
         })
     }
@@ -112,13 +114,13 @@
 
 impl StorageBackend for SimDisk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.with(|inner| inner.seen.len() as u64))
+        Ok(self.with(|inner| inner.current.len() as u64))
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         self.operation(|inner| {
             let at = usize::try_from(offset).unwrap_or(usize::MAX);
-            let found = inner.seen.get(at..at.saturating_add(out.len()));
+            let found = inner.current.get(at..at.saturating_add(out.len()));
             out.copy_from_slice(found.ok_or(io::ErrorKind::UnexpectedEof)?);
             Ok(())
         })
@@ -126,7 +128,7 @@
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         self.operation(|inner| {
-            apply(&mut inner.seen, &Change::Length(len), 0);
+            apply(&mut inner.current, &Change::Length(len), 0);
             inner.unsynced.push(Change::Length(len));
             Ok(())
         })
@@ -134,7 +136,7 @@
 
     fn sync_data(&self) -> io::Result<()> {
         self.operation(|inner| {
-            inner.kept = inner.seen.clone();
+            inner.durable = inner.current.clone();
             inner.unsynced.clear();
             Ok(())
         })
@@ -143,7 +145,7 @@
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         self.operation(|inner| {
             let change = Change::Write(offset, data.to_vec());
-            apply(&mut inner.seen, &change, data.len());
+            apply(&mut inner.current, &change, data.len());
             inner.unsynced.push(change);
             Ok(())
         })
--- a/crates/lockpoint-store/tests/crashes.rs
+++ b/crates/lockpoint-store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! The power goes at every operation of a scripted workload, and the disk keeps, loses or tears what was not synced:
-//! every acknowledged batch is there afterwards, whole, and nothing that nobody wrote.
+//! Simulates a power loss at every operation of a scripted workload, where the disk keeps, loses or tears writes that
+//! were not synced. Afterwards the store must contain every acknowledged batch completely, and nothing else.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 
 type Items = BTreeMap<Vec<u8>, Vec<u8>>;
 
-/// Batches as a controller writes them: calls begin and end; most are synced, some are not.
-fn script() -> Vec<(Batch, Durability)> {
+/// Batches as a controller writes them: calls begin and end; most batches are synced, some are not.
+fn workload() -> Vec<(Batch, Durability)> {
     let call = |n: usize| format!("call/{n:04}").into_bytes();
     let batch = |no: usize| {
         let mut batch = Batch::default();
@@ -25,37 +25,38 @@
     (0..10).map(batch).collect()
 }
 
-/// A disk with an empty store, as `Store::open` moves one to its place.
-fn made() -> SimDisk {
+/// A disk with an empty store, as created by `Store::open`.
+fn disk_with_empty_store() -> SimDisk {
     let disk = SimDisk::default();
     drop(Store::with_backend(disk.clone()).expect("a new store"));
     SimDisk::from_image(disk.image())
 }
 
-/// What the store holds after each number of batches.
-fn states() -> Vec<Items> {
-    let mut store = Store::with_backend(made()).expect("an empty store");
-    let all = |store: &Store| store.scan(b"").expect("read").into_iter().collect::<Items>();
-    let mut states = vec![all(&store)];
-    for (batch, durability) in script() {
-        store.commit(&batch, durability).expect("kept");
-        states.push(all(&store));
+/// The store's contents after each number of batches.
+fn expected_states() -> Vec<Items> {
+    let mut store = Store::with_backend(disk_with_empty_store()).expect("an empty store");
+    let contents = |store: &Store| store.scan(b"").expect("read").into_iter().collect::<Items>();
+    let mut states = vec![contents(&store)];
+    for (batch, durability) in workload() {
+        store.commit(&batch, durability).expect("committed");
+        states.push(contents(&store));
     }
     states
 }
 
-/// Runs the script until the disk fails; how many batches were known to be on the disk, and how many were begun.
-fn run(disk: &SimDisk, compacts: bool) -> (usize, usize) {
+/// Runs the workload until the disk fails. Returns how many batches were acknowledged as synced, and how many were
+/// begun.
+fn run(disk: &SimDisk, with_compaction: bool) -> (usize, usize) {
     let Ok(mut store) = Store::with_backend(disk.clone()) else { return (0, 0) };
     let (mut synced, mut begun) = (0, 0);
-    for (no, (batch, durability)) in script().iter().enumerate() {
+    for (no, (batch, durability)) in workload().iter().enumerate() {
         begun = no + 1;
         match store.commit(batch, *durability) {
             Ok(sequence) => assert_eq!(sequence, no as u64 + 1),
             Err(_) => {
                 assert!(
                     matches!(store.commit(batch, *durability), Err(StoreError::Failed)),
-                    "not tried again"
+                    "a failed commit is not retried"
                 );
                 return (synced, begun);
             }
@@ -63,83 +64,94 @@
         if *durability == Durability::Synced {
             synced = no + 1;
         }
-        if compacts && no == 5 && store.compact().is_err() {
+        if with_compaction && no == 5 && store.compact().is_err() {
             return (synced, begun);
         }
     }
     (synced, begun)
 }
 
-/// What is there after the power came back must be the state after so many batches, at least the synced ones.
-fn holds(disk: SimDisk, states: &[Items], synced: usize, begun: usize, what: &str) {
+/// Asserts that the store on `disk` has the contents after some number of batches between `synced` and `begun`, and
+/// that it accepts new commits.
+fn assert_recovers(disk: SimDisk, states: &[Items], synced: usize, begun: usize, what: &str) {
     let mut store = Store::with_backend(disk).unwrap_or_else(|error| panic!("{what}: {error}"));
     let found: Items =
         store.scan(b"").unwrap_or_else(|error| panic!("{what}: {error}")).into_iter().collect();
     let sequence = usize::try_from(store.sequence()).expect("small");
     assert!((synced..=begun).contains(&sequence), "{what}: batch {sequence}, synced {synced}, begun {begun}");
-    assert_eq!(found, states[sequence], "{what}: not the state after batch {sequence}");
+    assert_eq!(found, states[sequence], "{what}: differs from the state after batch {sequence}");
     let mut more = Batch::default();
     more.put(b"after", b"it goes on");
-    assert_eq!(store.commit(&more, Durability::Synced).expect("it goes on"), sequence as u64 + 1, "{what}");
+    assert_eq!(
+        store.commit(&more, Durability::Synced).expect("a commit after recovery"),
+        sequence as u64 + 1,
+        "{what}"
+    );
 }
 
-fn every_operation(compacts: bool) {
-    let states = states();
-    let whole = made();
-    assert_eq!(run(&whole, compacts), (10, 10), "the script ends with a synced batch");
+fn lose_power_at_every_operation(with_compaction: bool) {
+    let states = expected_states();
+    let complete = disk_with_empty_store();
+    assert_eq!(run(&complete, with_compaction), (10, 10), "the workload ends with a synced batch");
     let mut images = 0;
-    for at in 0..whole.operations() {
-        let disk = made();
-        disk.fail_at(at);
-        let (synced, begun) = run(&disk, compacts);
-        // Nothing of the rest is kept; all of it; every other change; all but one; each in turn torn.
+    for at in 0..complete.operations() {
+        let disk = disk_with_empty_store();
+        disk.fail_from(at);
+        let (synced, begun) = run(&disk, with_compaction);
+        // Of the changes that were not synced the disk keeps: none, all, every other, all but one, a single one, or all
+        // with one of them torn.
         let unsynced = disk.unsynced_changes();
-        let mut lose = |what: String, keeps: &mut dyn FnMut(usize) -> Option<usize>| {
-            holds(disk.power_loss(keeps), &states, synced, begun, &what);
+        let mut check = |what: String, kept_bytes: &mut dyn FnMut(usize) -> Option<usize>| {
+            assert_recovers(disk.power_loss(kept_bytes), &states, synced, begun, &what);
             images += 1;
         };
-        lose(format!("operation {at}: nothing"), &mut |_| None);
-        lose(format!("operation {at}: all"), &mut |_| Some(usize::MAX));
-        lose(format!("operation {at}: every other"), &mut |no| (no % 2 == 0).then_some(usize::MAX));
+        check(format!("operation {at}: none kept"), &mut |_| None);
+        check(format!("operation {at}: all kept"), &mut |_| Some(usize::MAX));
+        check(format!("operation {at}: every other kept"), &mut |no| (no % 2 == 0).then_some(usize::MAX));
         for one in 0..unsynced {
-            lose(format!("operation {at}: all but {one}"), &mut |no| (no != one).then_some(usize::MAX));
-            lose(format!("operation {at}: {one} alone"), &mut |no| (no == one).then_some(usize::MAX));
-            lose(format!("operation {at}: {one} torn"), &mut |no| {
+            check(format!("operation {at}: all but {one} kept"), &mut |no| (no != one).then_some(usize::MAX));
+            check(format!("operation {at}: only {one} kept"), &mut |no| (no == one).then_some(usize::MAX));
+            check(format!("operation {at}: {one} torn"), &mut |no| {
                 Some(if no == one { 512 } else { usize::MAX })
             });
         }
     }
-    println!("{} operations, {images} images", whole.operations());
+    println!("{} operations, {images} images", complete.operations());
     assert!(images > 500, "{images}");
 }
 
 #[test]
-fn the_power_goes_at_every_operation() {
-    every_operation(false);
+fn the_store_recovers_from_a_power_loss_at_every_operation() {
+    lose_power_at_every_operation(false);
 }
 
 #[test]
-fn the_power_goes_at_every_operation_and_in_the_midst_of_a_compaction() {
-    every_operation(true);
+fn the_store_recovers_from_a_power_loss_at_every_operation_including_a_compaction() {
+    lose_power_at_every_operation(true);
 }
 
-/// The last write, cut at every byte.
 #[test]
-fn the_last_write_is_torn_at_every_byte() {
-    let states = states();
-    let whole = made();
-    run(&whole, false);
+fn the_store_recovers_from_a_torn_last_write() {
+    let states = expected_states();
+    let complete = disk_with_empty_store();
+    run(&complete, false);
     let mut images = 0;
-    for at in (0..whole.operations()).step_by(7) {
-        let disk = made();
-        disk.fail_at(at);
+    for at in (0..complete.operations()).step_by(7) {
+        let disk = disk_with_empty_store();
+        disk.fail_from(at);
         let (synced, begun) = run(&disk, false);
         let last = disk.unsynced_changes().saturating_sub(1);
-        // A page is 4,096 bytes; headers are shorter. Every byte of those, every 64th of a page.
+        // Headers are cut at every byte, pages of 4,096 bytes at every 64th.
         let step = if disk.last_write_len() > 512 { 64 } else { 1 };
         for bytes in (0..disk.last_write_len()).step_by(step) {
             let torn = disk.power_loss(|no| Some(if no == last { bytes } else { usize::MAX }));
-            holds(torn, &states, synced, begun, &format!("operation {at}: {bytes} bytes of the last write"));
+            assert_recovers(
+                torn,
+                &states,
+                synced,
+                begun,
+                &format!("operation {at}: {bytes} bytes of the last write"),
+            );
             images += 1;
         }
     }
@@ -148,13 +160,13 @@
 }
 
 #[test]
-fn two_owners_are_refused_and_the_second_one_may_come_when_the_first_has_gone() {
+fn a_store_can_be_open_only_once_at_a_time() {
     let path = std::env::temp_dir().join(format!("lockpoint-store-owners-{}", std::process::id()));
-    // What a power loss left of an earlier beginning is no hindrance.
-    let beside = std::env::temp_dir().join(format!("lockpoint-store-owners-{}.new", std::process::id()));
-    std::fs::write(&beside, [0; 9_000]).expect("written");
-    let first = Store::open(&path).expect("made");
-    assert!(!beside.exists());
+    // The remains of a creation interrupted by a power loss must not prevent a new one.
+    let temporary = std::env::temp_dir().join(format!("lockpoint-store-owners-{}.new", std::process::id()));
+    std::fs::write(&temporary, [0; 9_000]).expect("written");
+    let first = Store::open(&path).expect("created");
+    assert!(!temporary.exists());
     assert!(matches!(Store::open(&path), Err(StoreError::InUse { .. })));
     drop(first);
     assert!(Store::open(&path).is_ok());
@@ -162,12 +174,12 @@
 }
 
 #[test]
-fn a_file_that_is_no_store_is_refused_by_name_and_left_as_it_is() {
+fn opening_a_file_that_is_no_store_fails_with_its_name_and_leaves_it_unchanged() {
     let path = std::env::temp_dir().join(format!("lockpoint-store-other-{}", std::process::id()));
     std::fs::write(&path, "a letter to the operators, longer than a header ".repeat(40)).expect("written");
     let before = std::fs::read(&path).expect("read");
-    let refused = Store::open(&path).err().map(|error| error.to_string()).unwrap_or_default();
-    assert!(refused.contains("lockpoint-store-other"), "{refused}");
+    let error_text = Store::open(&path).err().map(|error| error.to_string()).unwrap_or_default();
+    assert!(error_text.contains("lockpoint-store-other"), "{error_text}");
     assert_eq!(std::fs::read(&path).expect("read"), before);
     std::fs::remove_file(&path).expect("removed");
 }
