--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Gossip between controllers in virtual time: the code of `src/fleet`, with links that fail at random by a seed.
+//! Tests of the gossip protocol in `src/fleet`, in virtual time and over simulated links with seeded random faults.
 
 use lockpoint::fleet::{FleetConfig, Key};
 use lockpoint::interface::Span;
@@ -11,56 +11,56 @@
     Span::from_millis(ms)
 }
 
-/// Time until an observation reaches each peer over some seeds: 50th and 99th percentile and maximum, in ms.
-fn over_seeds(controllers: u16, links: &Links, seeds: u64) -> (u64, u64, u64) {
-    let mut took = Vec::new();
+/// Propagation time of an observation to each peer, over several seeds: 50th and 99th percentile and maximum, in ms.
+fn propagation_times(controllers: u16, links: &Links, seeds: u64) -> (u64, u64, u64) {
+    let mut times = Vec::new();
     for seed in 0..seeds {
         let mut sim = Sim::new(controllers, seed, links.clone(), &FleetConfig::default());
         sim.pass(ms(3_000));
-        for all in staleness(&mut sim, (seed % u64::from(controllers)) as u16, SERVER, true, ms(5_000)) {
-            took.push(all.unwrap_or_else(|| panic!("seed {seed}: a peer never receives it")).0 / 1_000);
+        for time in staleness(&mut sim, (seed % u64::from(controllers)) as u16, SERVER, true, ms(5_000)) {
+            times.push(time.unwrap_or_else(|| panic!("seed {seed}: a peer never receives it")).0 / 1_000);
         }
     }
-    took.sort_unstable();
-    let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
-    (at(0.5), at(0.99), at(1.0))
+    times.sort_unstable();
+    let percentile = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+    (percentile(0.5), percentile(0.99), percentile(1.0))
 }
 
-/// The bounds of `docs/fleet-limits.md`.
+/// Checks the bounds stated in `docs/fleet-limits.md`.
 #[rstest]
 #[case(8, 0.0, 250, 250)]
 #[case(100, 0.0, 250, 250)]
 #[case(100, 0.1, 250, 1_500)]
 #[case(100, 0.3, 250, 3_000)]
 #[case(300, 0.0, 250, 1_500)]
-fn an_observation_reaches_all_peers_in_time(
+fn an_observation_reaches_all_peers_within_the_bounds(
     #[case] controllers: u16,
     #[case] loss: f64,
-    #[case] nearly_all: u64,
-    #[case] all: u64,
+    #[case] p99_bound_ms: u64,
+    #[case] max_bound_ms: u64,
 ) {
     let links = Links { loss, twice: 0.02, ..Links::default() };
-    let (half, most, last) = over_seeds(controllers, &links, 12);
-    println!("{controllers} controllers, loss {loss}: p50 {half} p99 {most} max {last} ms, seeds 0 to 11");
-    assert!(most <= nearly_all, "p99 {most} ms");
-    assert!(last <= all, "max {last} ms");
+    let (p50, p99, max) = propagation_times(controllers, &links, 12);
+    println!("{controllers} controllers, loss {loss}: p50 {p50} p99 {p99} max {max} ms, seeds 0 to 11");
+    assert!(p99 <= p99_bound_ms, "p99 {p99} ms");
+    assert!(max <= max_bound_ms, "max {max} ms");
 }
 
 #[test]
 fn bytes_per_second_stay_bounded_as_the_fleet_grows() {
     for controllers in [5, 50, 300] {
         let mut sim = Sim::new(controllers, 3, Links::default(), &FleetConfig::default());
-        // Ten call servers whose state, as all controllers observe it, changes all the time.
+        // All controllers observe continuous changes of ten call servers.
         for step in 0..100u64 {
-            for who in 0..controllers {
-                let wait = ms((step + u64::from(who)) % 7 * 200);
-                sim.observe(who, Key(u32::try_from(step % 10).expect("small")), wait, step % 3 == 0);
+            for controller in 0..controllers {
+                let wait = ms((step + u64::from(controller)) % 7 * 200);
+                sim.observe(controller, Key(u32::try_from(step % 10).expect("small")), wait, step % 3 == 0);
             }
             sim.pass(ms(100));
         }
-        let most = sim.bytes().into_iter().max().expect("some");
-        // Ten seconds at the bound, and the burst of a second that it may begin with.
-        assert!(most <= 4_000 * 11, "{controllers}: {most}");
+        let max = sim.bytes().into_iter().max().expect("at least one controller");
+        // Ten seconds at the limit, and an initial burst of one second's worth.
+        assert!(max <= 4_000 * 11, "{controllers} controllers: {max} bytes");
     }
 }
 
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn forwarded_observations_expire_and_never_look_younger() {
+fn forwarded_observations_expire_and_never_appear_younger_than_they_are() {
     for seed in 0..8 {
         let mut sim = Sim::new(30, seed, Links { twice: 0.1, ..Links::default() }, &FleetConfig::default());
         sim.observe(0, SERVER, ms(0), true);
@@ -98,13 +98,13 @@
             sim.pass(ms(100));
             for no in 0..30 {
                 let dated = sim.view(no, SERVER).map(|s| s.observed_at).filter(|at| *at > observed_at);
-                assert!(dated.is_none(), "seed {seed}: {no} dates it later than it was observed");
+                assert!(dated.is_none(), "seed {seed}: controller {no} dates it later than it was observed");
             }
         }
         sim.pass(ms(2_000));
         assert!(
             (0..30).all(|no| sim.view(no, SERVER).is_none()),
-            "seed {seed}: a stale observation is ignored"
+            "seed {seed}: a stale observation is still in use"
         );
     }
 }
@@ -113,9 +113,9 @@
 fn a_suspended_controller_ignores_stale_observations() {
     let mut sim = Sim::new(6, 1, Links::default(), &FleetConfig::default());
     sim.pass(ms(3_000));
-    // All links have carried datagrams by now, so that delay is detected.
-    for who in 0..6 {
-        sim.observe(who, Key(100 + u32::from(who)), ms(0), false);
+    // Every link has to carry datagrams first, so that delay is detected.
+    for controller in 0..6 {
+        sim.observe(controller, Key(100 + u32::from(controller)), ms(0), false);
         sim.pass(ms(2_500));
     }
     sim.stall(5, ms(8_000));
@@ -123,11 +123,11 @@
     sim.pass(ms(7_900));
     assert!(sim.view(5, SERVER).is_none());
     sim.pass(ms(300));
-    assert!(sim.view(5, SERVER).is_none(), "eight seconds old: it is ignored");
+    assert!(sim.view(5, SERVER).is_none(), "an observation that is 8 s old was accepted");
 }
 
 #[rstest]
-#[case::fits("me = 1\npeers = [\"127.0.0.1:7001\", \"127.0.0.1:7002\"]", None)]
+#[case::valid("me = 1\npeers = [\"127.0.0.1:7001\", \"127.0.0.1:7002\"]", None)]
 #[case::keys_of_earlier_releases(
     "me = 1\nbytes_a_second = 600\nstale_ms = 2000\npeers = [\"127.0.0.1:7001\", \"127.0.0.1:7002\"]",
     None
@@ -160,20 +160,20 @@
     "me = 1\npeer = []\npeers = [\"127.0.0.1:7001\", \"127.0.0.1:7002\"]",
     Some("unknown field `peer`")
 )]
-fn fleet_keys_are_validated_and_named_in_errors(#[case] keys: &str, #[case] wrong: Option<&str>) {
+fn fleet_keys_are_validated_and_named_in_errors(#[case] keys: &str, #[case] expected_error: Option<&str>) {
     let example = include_str!("../deploy/agent.toml");
     let fleet = format!("[instance.fleet]\nlisten = \"127.0.0.1:7002\"\n{keys}\n\n[instance.limits]");
     let text = example.replacen("[instance.limits]", &fleet, 1);
-    let name = keys.bytes().fold(0u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(u32::from(byte)));
-    let file = std::env::temp_dir().join(format!("lockpoint-fleet-{}-{name}.toml", std::process::id()));
+    let hash = keys.bytes().fold(0u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(u32::from(byte)));
+    let file = std::env::temp_dir().join(format!("lockpoint-fleet-{}-{hash}.toml", std::process::id()));
     std::fs::write(&file, text).expect("written");
-    let read = lockpoint::config::from_file(&file);
+    let config = lockpoint::config::from_file(&file);
     std::fs::remove_file(&file).expect("removed");
-    match wrong {
-        None => assert!(read.is_ok_and(|c| c.instances[0].core.fleet.as_ref().is_some_and(|f| f.me == 1))),
-        Some(why) => {
-            let said = read.err().map(|error| error.to_string()).unwrap_or_default();
-            assert!(said.contains(why), "{said}");
+    match expected_error {
+        None => assert!(config.is_ok_and(|c| c.instances[0].core.fleet.as_ref().is_some_and(|f| f.me == 1))),
+        Some(expected) => {
+            let text = config.err().map(|error| error.to_string()).unwrap_or_default();
+            assert!(text.contains(expected), "{text}");
         }
     }
 }
--- a/tests/recovery_processes.rs
+++ b/tests/recovery_processes.rs
@@ -1,5 +1,5 @@
-//! Controllers that lose power, as processes that are killed, and come back with their records: what the call servers and
-//! the callers see.
+//! Tests of controllers that lose power, simulated by killed processes, and recover from their records. Assertions rely
+//! on what the call servers and the callers receive.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -14,19 +14,19 @@
 use serde_json::{json, Value};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lockpoint");
-/// A release that is owed must be said within this of the call's end, or of the return of who owes it.
-const OWED_WITHIN: Duration = Duration::from_secs(8);
+/// Time within which a pending release must be sent, from the end of the call or from the controller's restart on.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
 
-struct Scene {
+struct Setup {
     world: World,
     servers: Vec<Rc<SipServer>>,
     fleet: Processes,
     calls: u64,
 }
 
-impl Scene {
-    /// Two call servers, s0 and s1, and controllers that keep records and tell each other what they see.
-    async fn set(controllers: u16, seed: u64) -> Scene {
+impl Setup {
+    /// Starts two call servers, s0 and s1, and controllers that keep records and exchange observations.
+    async fn start(controllers: u16, seed: u64) -> Setup {
         println!("seed {seed}");
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
@@ -34,21 +34,21 @@
         for name in ["s0", "s1"] {
             servers.push(SipServer::start(&world, name, Does::Answer("v=0\r\n".into())).await);
         }
-        let lines = servers.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
-        bulletin.tell(true, lines.collect());
+        let entries = servers.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
+        bulletin.tell(true, entries.collect());
         let fleet = Processes::prepare(Path::new(PROGRAM), controllers, bulletin.at, &settings(), seed).await;
         let mut fleet = fleet.expect("a fleet");
         (fleet.shares, fleet.store) = (Some(json!({})), Some(json!({})));
         fleet.begin_all().await.expect("they serve");
-        Scene { world, servers, fleet, calls: 0 }
+        Setup { world, servers, fleet, calls: 0 }
     }
 
     async fn caller(&self, me: u16) -> Caller {
-        Caller::connect(&self.world, "caller", self.fleet.at(me).expect("it runs")).await
+        Caller::connect(&self.world, "caller", self.fleet.at(me).expect("the controller runs")).await
     }
 
-    /// A call for a call server that stands; asked again for as long as the controller is only coming back.
-    async fn stands(&mut self, caller: &Caller, cell: u16) -> String {
+    /// Establishes a call to the call server of a cell, with further attempts while the controller is recovering.
+    async fn establish_call(&mut self, caller: &Caller, cell: u16) -> String {
         let end = Instant::now() + Duration::from_secs(30);
         loop {
             self.calls += 1;
@@ -56,16 +56,17 @@
             caller.open(&sid, 5_000, cell, "v=0\r\n").await;
             match self.world.answer(&sid).await.what {
                 What::Ready(_) => return sid,
-                _ => assert!(Instant::now() < end, "no call stands any more"),
+                _ => assert!(Instant::now() < end, "no call was established within 30 s"),
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until a controller has written down so many changes and has none waiting.
-    async fn kept(&self, me: u16, changes: u64) {
-        let kept = |f: &std::collections::BTreeMap<String, u64>| f.get("store.changes") >= Some(&changes);
-        self.fleet.until_figures("it is written down", me, kept).await;
+    /// Waits until a controller has persisted this number of changes.
+    async fn wait_until_persisted(&self, me: u16, changes: u64) {
+        let persisted =
+            |f: &std::collections::BTreeMap<String, u64>| f.get("store.changes") >= Some(&changes);
+        self.fleet.until_figures("the changes are persisted", me, persisted).await;
         let batches = self.fleet.figures(me).await.get("store.batches").copied();
         assert!(batches > Some(0));
     }
@@ -78,153 +79,165 @@
 }
 
 #[test]
-fn after_a_power_loss_of_all_every_call_that_stood_gets_the_release_it_is_owed_once() {
+fn after_a_power_loss_of_all_controllers_each_established_call_is_released_exactly_once() {
     on_one_thread(async {
-        let mut scene = Scene::set(3, 1).await;
+        let mut setup = Setup::start(3, 1).await;
         let mut calls = Vec::new();
         for me in 0..3 {
-            let caller = scene.caller(me).await;
+            let caller = setup.caller(me).await;
             for cell in [0, 0, 1, 1] {
-                calls.push((me, cell, scene.stands(&caller, cell).await));
+                calls.push((me, cell, setup.establish_call(&caller, cell).await));
             }
-            // Two lines of the list, four calls.
-            scene.kept(me, 6).await;
+            // Two directory entries and four calls.
+            setup.wait_until_persisted(me, 6).await;
         }
         for me in 0..3 {
-            scene.fleet.kill(me).await;
+            setup.fleet.kill(me).await;
         }
-        // Meanwhile one call server dies, and the other ends a call of each controller.
-        scene.servers[0].until_alone().await;
-        scene.servers[1].die();
+        // Meanwhile one call server dies, and the other releases one call of each controller.
+        setup.servers[0].until_alone().await;
+        setup.servers[1].die();
         let ended: Vec<String> = (0..3).map(|me| calls[me * 4].2.clone()).collect();
-        ended.iter().for_each(|sid| scene.servers[0].release(sid, 16));
+        ended.iter().for_each(|sid| setup.servers[0].release(sid, 16));
         let mut callers = Vec::new();
-        let mut back = Vec::new();
+        let mut restarts = Vec::new();
         for me in [2, 0, 1] {
-            back.push((me, Instant::now()));
-            scene.fleet.begin(me).await.expect("it comes back");
-            callers.push((me, scene.caller(me).await));
+            restarts.push((me, Instant::now()));
+            setup.fleet.begin(me).await.expect("a restart");
+            callers.push((me, setup.caller(me).await));
         }
-        // Whoever speaks is a caller: releases go to him.
+        // Releases are sent to a client connection once it has sent a set-up.
         for (me, caller) in &callers {
-            scene.stands(caller, 0).await;
+            setup.establish_call(caller, 0).await;
             let _ = me;
         }
         for (me, cell, sid) in &calls {
-            let over = *cell == 1 || ended.contains(sid);
+            let is_over = *cell == 1 || ended.contains(sid);
             let name = format!("the release of {sid}, cell {cell} of c{me}");
-            if over {
+            if is_over {
                 let cause = if *cell == 1 { 41 } else { 16 };
-                let heard = |s: &Seen| s.sid == *sid && matches!(s.what, What::Close(c, _) if c == cause);
-                let seen = scene.world.until(&name, heard).await;
-                let since = back.iter().find(|(other, _)| other == me).map(|(_, at)| *at).expect("back");
-                assert!(seen.at.duration_since(since) < OWED_WITHIN, "{name}");
+                let is_release =
+                    |s: &Seen| s.sid == *sid && matches!(s.what, What::Close(c, _) if c == cause);
+                let release = setup.world.until(&name, is_release).await;
+                let restart = restarts.iter().find(|(other, _)| other == me).map(|(_, at)| *at);
+                assert!(release.at.duration_since(restart.expect("a restart")) < RELEASE_TIMEOUT, "{name}");
             } else {
-                assert!(scene.releases(sid).is_empty(), "{sid} stands");
-                scene.servers[0].release(sid, 16);
-                scene.world.until(&name, |s| s.sid == *sid && matches!(s.what, What::Close(16, _))).await;
+                assert!(
+                    setup.releases(sid).is_empty(),
+                    "call {sid} was released, but should still be established"
+                );
+                setup.servers[0].release(sid, 16);
+                setup.world.until(&name, |s| s.sid == *sid && matches!(s.what, What::Close(16, _))).await;
             }
         }
-        // All that any of them was to say has been said by then: each once.
+        // By now all releases have been sent, each exactly once.
         for (_, caller) in &callers {
-            scene.stands(caller, 0).await;
+            setup.establish_call(caller, 0).await;
         }
         for (_, _, sid) in &calls {
-            assert_eq!(scene.releases(sid).len(), 1, "{sid}");
+            assert_eq!(setup.releases(sid).len(), 1, "releases of call {sid}");
         }
-        assert!(scene.fleet.stop().await);
+        assert!(setup.fleet.stop().await);
     });
 }
 
-/// A caller that ends a call of the life before reaches the call server that holds it, and that one alone.
 #[test]
-fn a_call_of_the_life_before_is_ended_where_it_stands() {
+fn a_hangup_for_a_recovered_call_reaches_only_the_call_server_that_holds_it() {
     on_one_thread(async {
-        let mut scene = Scene::set(1, 2).await;
-        let caller = scene.caller(0).await;
-        let sid = scene.stands(&caller, 1).await;
-        scene.kept(0, 3).await;
-        scene.fleet.kill(0).await;
-        scene.fleet.begin(0).await.expect("it comes back");
-        let caller = scene.caller(0).await;
+        let mut setup = Setup::start(1, 2).await;
+        let caller = setup.caller(0).await;
+        let sid = setup.establish_call(&caller, 1).await;
+        setup.wait_until_persisted(0, 3).await;
+        setup.fleet.kill(0).await;
+        setup.fleet.begin(0).await.expect("a restart");
+        let caller = setup.caller(0).await;
         caller.close(&sid, 16).await;
-        scene.world.until("it is ended", |s| s.sid == sid && s.who == "s1" && s.what == What::Bye(16)).await;
-        scene.stands(&caller, 0).await;
-        let elsewhere = scene.world.count(|s| s.sid == sid && s.who == "s0");
-        assert_eq!(elsewhere, 0, "nobody else is asked");
-        assert!(scene.fleet.stop().await);
+        setup
+            .world
+            .until("the call is ended at s1", |s| s.sid == sid && s.who == "s1" && s.what == What::Bye(16))
+            .await;
+        setup.establish_call(&caller, 0).await;
+        let elsewhere = setup.world.count(|s| s.sid == sid && s.who == "s0");
+        assert_eq!(elsewhere, 0, "s0 received messages about the call");
+        assert!(setup.fleet.stop().await);
     });
 }
 
 #[test]
-fn no_set_up_leaves_before_all_that_the_life_before_had_out_is_over() {
+fn no_set_up_is_sent_until_the_previous_runs_outstanding_attempts_are_over() {
     on_one_thread(async {
-        let mut scene = Scene::set(2, 3).await;
-        let caller = scene.caller(0).await;
-        scene.stands(&caller, 0).await;
-        scene.kept(0, 3).await;
-        // One is out, and nobody answers it, when the power goes.
-        *scene.servers[1].does.borrow_mut() = Does::Silent;
+        let mut setup = Setup::start(2, 3).await;
+        let caller = setup.caller(0).await;
+        setup.establish_call(&caller, 0).await;
+        setup.wait_until_persisted(0, 3).await;
+        // When the power is lost, one attempt is outstanding and unanswered.
+        *setup.servers[1].does.borrow_mut() = Does::Silent;
         let sid = Sid::numbered(0x9000).to_string();
         caller.open(&sid, 5_000, 1, "v=0\r\n").await;
-        scene.world.until("it is out", |s| s.sid == sid && matches!(s.what, What::SetUp(..))).await;
-        *scene.servers[1].does.borrow_mut() = Does::Answer("v=0\r\n".into());
-        scene.fleet.kill(0).await;
-        scene.fleet.kill(1).await;
+        setup
+            .world
+            .until("the set-up reaches a call server", |s| s.sid == sid && matches!(s.what, What::SetUp(..)))
+            .await;
+        *setup.servers[1].does.borrow_mut() = Does::Answer("v=0\r\n".into());
+        setup.fleet.kill(0).await;
+        setup.fleet.kill(1).await;
         let lost = Instant::now();
-        scene.fleet.begin(0).await.expect("it comes back");
-        // Callers ask again and again, each time by a new name, until one stands.
-        let caller = scene.caller(0).await;
-        scene.stands(&caller, 1).await;
+        setup.fleet.begin(0).await.expect("a restart");
+        // The caller repeats the set-up, each time as a new call, until one is established.
+        let caller = setup.caller(0).await;
+        setup.establish_call(&caller, 1).await;
         let set_ups =
-            scene.world.all().into_iter().filter(|s| matches!(s.what, What::SetUp(..)) && s.at > lost);
-        let first = set_ups.map(|s| s.at).min().expect("some");
+            setup.world.all().into_iter().filter(|s| matches!(s.what, What::SetUp(..)) && s.at > lost);
+        let first = set_ups.map(|s| s.at).min().expect("at least one set-up");
         assert!(first.duration_since(lost) >= Duration::from_millis(500), "{:?}", first.duration_since(lost));
-        assert!(scene.fleet.stop().await);
+        assert!(setup.fleet.stop().await);
     });
 }
 
 #[test]
-fn with_the_list_gone_too_it_serves_by_the_list_of_its_records() {
+fn without_a_directory_a_recovered_controller_uses_the_recorded_entries() {
     on_one_thread(async {
-        let mut scene = Scene::set(1, 4).await;
-        scene.kept(0, 2).await;
-        scene.fleet.kill(0).await;
-        // Nobody tells a list any more: the place is held, and says nothing.
+        let mut setup = Setup::start(1, 4).await;
+        setup.wait_until_persisted(0, 2).await;
+        setup.fleet.kill(0).await;
+        // The bulletin no longer answers: its address accepts connections, but sends nothing.
         let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        scene.fleet.bulletins.insert(0, silent.local_addr().expect("an address"));
-        scene.fleet.begin(0).await.expect("it serves");
-        let caller = scene.caller(0).await;
-        scene.stands(&caller, 1).await;
-        assert!(scene.fleet.stop().await);
+        setup.fleet.bulletins.insert(0, silent.local_addr().expect("an address"));
+        setup.fleet.begin(0).await.expect("a restart");
+        let caller = setup.caller(0).await;
+        setup.establish_call(&caller, 1).await;
+        assert!(setup.fleet.stop().await);
     });
 }
 
 #[test]
-fn records_are_shown_and_a_file_that_is_none_is_refused_by_name() {
+fn the_store_commands_show_the_records_and_an_invalid_store_prevents_the_start() {
     on_one_thread(async {
-        let mut scene = Scene::set(1, 5).await;
-        let caller = scene.caller(0).await;
-        let sid = scene.stands(&caller, 1).await;
-        scene.kept(0, 3).await;
-        let records = scene.fleet.records(0);
+        let mut setup = Setup::start(1, 5).await;
+        let caller = setup.caller(0).await;
+        let sid = setup.establish_call(&caller, 1).await;
+        setup.wait_until_persisted(0, 3).await;
+        let records = setup.fleet.records(0);
         let tool = |args: &[&str]| {
             let mut command = std::process::Command::new(PROGRAM);
-            command.arg("store").args(args).arg(&records).output().expect("it runs")
+            command.arg("store").args(args).arg(&records).output().expect("the command runs")
         };
         let in_use = tool(&["info"]);
-        let said = String::from_utf8_lossy(&in_use.stderr).into_owned();
-        assert!(in_use.status.code() == Some(2) && said.contains("another process has it open"), "{said}");
-        scene.fleet.kill(0).await;
+        let error_text = String::from_utf8_lossy(&in_use.stderr).into_owned();
+        assert!(
+            in_use.status.code() == Some(2) && error_text.contains("another process has it open"),
+            "{error_text}"
+        );
+        setup.fleet.kill(0).await;
         let dump = String::from_utf8(tool(&["dump", "--json"]).stdout).expect("text");
-        let line = dump.lines().find(|line| line.contains(&sid)).expect("the call");
+        let line = dump.lines().find(|line| line.contains(&sid)).expect("a line for the call");
         let line: Value = serde_json::from_str(line).expect("JSON");
         assert_eq!((&line["stands"]["host"], line["stands"]["leg"].as_bool()), (&json!("s1"), Some(false)));
         assert!(tool(&["verify"]).status.success());
         let info: Value = serde_json::from_slice(&tool(&["info", "--json"]).stdout).expect("JSON");
-        assert_eq!(info["items"], 3, "two lines of the list and a call");
+        assert_eq!(info["items"], 3, "two directory entries and a call");
         std::fs::write(&records, "no records ".repeat(900)).expect("written");
-        let refused = scene.fleet.begin(0).await.err().map(|error| error.to_string()).unwrap_or_default();
-        assert!(refused.contains("it has ended (exit status: 2)"), "{refused}");
+        let error_text = setup.fleet.begin(0).await.err().map(|error| error.to_string()).unwrap_or_default();
+        assert!(error_text.contains("it has ended (exit status: 2)"), "{error_text}");
     });
 }
