--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -24,7 +24,7 @@
 use crate::fleet::{Fleet, FleetConfig};
 use crate::interface::{CallId, Event, ServerId, ServerState, Settings, Span, Time, TimerToken};
 use crate::metrics::{Ending, Gauges, RequestMetrics};
-use crate::recovery::records::Change;
+use crate::recovery::records::RecordChange;
 use crate::rules::Controller;
 use book::Book;
 use deadlines::Deadlines;
@@ -333,7 +333,7 @@
                 Deadline::FirstMessage(client) => self.client_speaks(client, out),
                 Deadline::PendingRelease(sid) => {
                     self.book.drop_unsaid(sid);
-                    self.note_change(|| Change::Ends(sid));
+                    self.note_change(|| RecordChange::CallEnded(sid));
                 }
                 Deadline::ProtocolAdapter(part, key) => wires.push((part, key)),
             }
--- a/src/recovery/records.rs
+++ b/src/recovery/records.rs
@@ -1,131 +1,143 @@
-//! What a controller keeps over the end of its process, as keys and values. Calls under `call/`, lines of the list under
-//! `list/`. Values are MessagePack arrays; one that cannot be read is left out and counted, and nothing else is lost.
+//! Records that a controller persists for the next run of its process, as keys and values: calls under `call/`,
+//! directory entries under `list/`. Values are MessagePack arrays. A value that cannot be decoded is skipped and
+//! counted; all others stay usable.
 
 use serde::{Deserialize, Serialize};
 
 use crate::core::{DirectoryEntry, Sid, Source};
 use crate::interface::{Span, Time};
 
-const CALL: &[u8] = b"call/";
-const LIST: &[u8] = b"list/";
+const CALL_PREFIX: &[u8] = b"call/";
+const DIRECTORY_PREFIX: &[u8] = b"list/";
 
-/// A call that stands.
+/// An established call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptCall {
+pub struct CallRecord {
     /// The call server's host name.
     pub host: String,
-    /// When that call server had started, as the list said; in Unix milliseconds, 0 for long past.
-    pub born_ms: u64,
-    /// The number called, which a release from this side names.
+    /// When that call server started according to the directory, in Unix milliseconds; 0 if long ago.
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
+    /// The number called; a release sent by the controller contains it.
     pub number: String,
-    /// Since when it stands, in Unix milliseconds.
+    /// When it was established, in Unix milliseconds.
     pub since_ms: u64,
-    /// Whether its caller is a leg of IAX2, which ends with the process.
+    /// Whether the caller's side is an IAX2 call leg, which ends with the process.
     pub leg: bool,
 }
 
-/// What is kept of a call.
+/// The stored value of a call. Variants are serialized under the names of earlier releases.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-enum Kept {
-    Stands(KeptCall),
-    Owed(u16),
+enum StoredCall {
+    #[serde(rename = "Stands")]
+    Established(CallRecord),
+    /// The cause of a release that is still to be sent to the caller.
+    #[serde(rename = "Owed")]
+    PendingRelease(u16),
 }
 
-/// A line of the list.
+/// A directory entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct KeptLine {
-    /// Who told it.
+pub struct DirectoryRecord {
+    /// The directory that listed it.
     pub source: Source,
-    /// The line.
-    pub line: DirectoryEntry,
-    /// When it was told, in Unix milliseconds.
-    pub told_ms: u64,
+    /// The entry.
+    #[serde(rename = "line")]
+    pub entry: DirectoryEntry,
+    /// When it was received, in Unix milliseconds.
+    #[serde(rename = "told_ms")]
+    pub listed_ms: u64,
 }
 
-/// A change of what is kept.
+/// A change of the records.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Change {
-    /// A call stands.
-    Stands(Sid, KeptCall),
-    /// A call is over, and its caller is owed the release, with this cause: nobody is there to hear it.
-    Owes(Sid, u16),
-    /// A call is over, and its release is on its way or given up.
-    Ends(Sid),
-    /// The list says something of a call server.
-    Listed(KeptLine),
-    /// A call server is forgotten.
-    Unlisted(Source, String),
+pub enum RecordChange {
+    /// A call was established.
+    CallEstablished(Sid, CallRecord),
+    /// A call has ended, and its release with this cause is pending because no client connection can take it.
+    ReleasePending(Sid, u16),
+    /// A call has ended, and its release was sent, was abandoned or is not needed.
+    CallEnded(Sid),
+    /// A directory has listed a call server.
+    ServerListed(DirectoryRecord),
+    /// A call server was removed.
+    ServerForgotten(Source, String),
 }
 
 fn call_key(sid: Sid) -> Vec<u8> {
-    [CALL, &sid.0].concat()
+    [CALL_PREFIX, &sid.0].concat()
 }
 
-fn line_key(source: Source, host: &str) -> Vec<u8> {
+fn directory_key(source: Source, host: &str) -> Vec<u8> {
     let source = match source {
         Source::Bulletin => "bulletin/",
         Source::DnsSd => "dns-sd/",
         Source::Registered => "registered/",
     };
-    [LIST, source.as_bytes(), host.as_bytes()].concat()
+    [DIRECTORY_PREFIX, source.as_bytes(), host.as_bytes()].concat()
 }
 
-impl Change {
-    /// The key that changes, and its new value; `None`: it has none any more.
+impl RecordChange {
+    /// The key that changes and its new value; `None` if the key is removed.
     pub fn encoded(&self) -> (Vec<u8>, Option<Vec<u8>>) {
         match self {
-            Change::Stands(sid, call) => {
-                (call_key(*sid), rmp_serde::to_vec(&Kept::Stands(call.clone())).ok())
+            RecordChange::CallEstablished(sid, call) => {
+                (call_key(*sid), rmp_serde::to_vec(&StoredCall::Established(call.clone())).ok())
             }
-            Change::Owes(sid, cause) => (call_key(*sid), rmp_serde::to_vec(&Kept::Owed(*cause)).ok()),
-            Change::Ends(sid) => (call_key(*sid), None),
-            Change::Listed(kept) => (line_key(kept.source, &kept.line.host), rmp_serde::to_vec(kept).ok()),
-            Change::Unlisted(source, host) => (line_key(*source, host), None),
+            RecordChange::ReleasePending(sid, cause) => {
+                (call_key(*sid), rmp_serde::to_vec(&StoredCall::PendingRelease(*cause)).ok())
+            }
+            RecordChange::CallEnded(sid) => (call_key(*sid), None),
+            RecordChange::ServerListed(record) => {
+                (directory_key(record.source, &record.entry.host), rmp_serde::to_vec(record).ok())
+            }
+            RecordChange::ServerForgotten(source, host) => (directory_key(*source, host), None),
         }
     }
 }
 
-/// What the records hold.
+/// The decoded records.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Found {
-    /// Calls that stood.
-    pub calls: Vec<(Sid, KeptCall)>,
-    /// Releases that callers were owed, with their causes.
-    pub owed: Vec<(Sid, u16)>,
-    /// The list as last told.
-    pub list: Vec<KeptLine>,
-    /// Records that cannot be read.
+pub struct Records {
+    /// Calls that were established.
+    pub calls: Vec<(Sid, CallRecord)>,
+    /// Pending releases, with their causes.
+    pub pending_releases: Vec<(Sid, u16)>,
+    /// The last known directory entries.
+    pub directory: Vec<DirectoryRecord>,
+    /// Number of records that could not be decoded.
     pub unreadable: usize,
 }
 
-impl Found {
-    /// Reads the items of a store.
-    pub fn read<'a>(items: impl IntoIterator<Item = (&'a [u8], &'a [u8])>) -> Found {
-        let mut found = Found::default();
+impl Records {
+    /// Decodes the items of a store.
+    pub fn read<'a>(items: impl IntoIterator<Item = (&'a [u8], &'a [u8])>) -> Records {
+        let mut records = Records::default();
         for (key, value) in items {
-            let read = if let Some(sid) = key.strip_prefix(CALL) {
+            let decoded = if let Some(sid) = key.strip_prefix(CALL_PREFIX) {
                 let sid = std::str::from_utf8(sid).ok().and_then(Sid::parse);
-                sid.zip(rmp_serde::from_slice(value).ok()).map(|(sid, kept)| match kept {
-                    Kept::Stands(call) => found.calls.push((sid, call)),
-                    Kept::Owed(cause) => found.owed.push((sid, cause)),
+                sid.zip(rmp_serde::from_slice(value).ok()).map(|(sid, call)| match call {
+                    StoredCall::Established(call) => records.calls.push((sid, call)),
+                    StoredCall::PendingRelease(cause) => records.pending_releases.push((sid, cause)),
                 })
-            } else if key.starts_with(LIST) {
-                rmp_serde::from_slice(value).ok().map(|kept| found.list.push(kept))
+            } else if key.starts_with(DIRECTORY_PREFIX) {
+                rmp_serde::from_slice(value).ok().map(|record| records.directory.push(record))
             } else {
                 None
             };
-            found.unreadable += usize::from(read.is_none());
+            records.unreadable += usize::from(decoded.is_none());
         }
-        found
+        records
     }
 
-    /// The lines that still count at `now`: a `ready` older than `age` says nothing.
-    pub fn lines(&self, now: Time, age: Span) -> impl Iterator<Item = &KeptLine> {
+    /// The entries still valid at `now`. Entries with the state `ready` expire at `max_age`; the others do not expire.
+    pub fn current_entries(&self, now: Time, max_age: Span) -> impl Iterator<Item = &DirectoryRecord> {
         use crate::interface::ServerState;
-        let fresh = move |kept: &&KeptLine| {
-            kept.line.state != ServerState::Ready || now.since(Time(kept.told_ms.saturating_mul(1_000))) < age
+        let is_current = move |record: &&DirectoryRecord| {
+            record.entry.state != ServerState::Ready
+                || now.since(Time(record.listed_ms.saturating_mul(1_000))) < max_age
         };
-        self.list.iter().filter(fresh)
+        self.directory.iter().filter(is_current)
     }
 }
 
@@ -139,9 +151,9 @@
     use crate::core::Protocol;
     use crate::interface::{Cell, ServerState};
 
-    fn line(host: &str, state: ServerState, told_ms: u64) -> KeptLine {
+    fn record(host: &str, state: ServerState, listed_ms: u64) -> DirectoryRecord {
         let address = SocketAddr::from(([127, 0, 0, 1], 7000));
-        let line = DirectoryEntry {
+        let entry = DirectoryEntry {
             host: host.to_owned(),
             address,
             protocol: Protocol::Sip,
@@ -150,62 +162,62 @@
             started_ms: 5,
             state,
         };
-        KeptLine { source: Source::Bulletin, line, told_ms }
+        DirectoryRecord { source: Source::Bulletin, entry, listed_ms }
     }
 
     #[test]
-    fn what_is_kept_is_found_again_and_what_has_ended_is_not() {
+    fn records_round_trip_and_those_of_ended_calls_are_removed() {
         let call =
-            KeptCall { host: "s0".into(), born_ms: 9, number: "7f".into(), since_ms: 1_000, leg: false };
-        let (one, other, third) = (Sid::from_number(1), Sid::from_number(2), Sid::from_number(3));
-        let kept = line("s0", ServerState::Ready, 77);
+            CallRecord { host: "s0".into(), started_ms: 9, number: "7f".into(), since_ms: 1_000, leg: false };
+        let (first, second, third) = (Sid::from_number(1), Sid::from_number(2), Sid::from_number(3));
+        let entry = record("s0", ServerState::Ready, 77);
         let changes = [
-            Change::Stands(one, call.clone()),
-            Change::Stands(other, call.clone()),
-            Change::Ends(other),
-            Change::Stands(third, call.clone()),
-            Change::Owes(third, 41),
-            Change::Listed(line("s1", ServerState::Ready, 5)),
-            Change::Listed(kept.clone()),
-            Change::Unlisted(Source::Bulletin, "s1".into()),
+            RecordChange::CallEstablished(first, call.clone()),
+            RecordChange::CallEstablished(second, call.clone()),
+            RecordChange::CallEnded(second),
+            RecordChange::CallEstablished(third, call.clone()),
+            RecordChange::ReleasePending(third, 41),
+            RecordChange::ServerListed(record("s1", ServerState::Ready, 5)),
+            RecordChange::ServerListed(entry.clone()),
+            RecordChange::ServerForgotten(Source::Bulletin, "s1".into()),
         ];
         let mut items = std::collections::BTreeMap::new();
-        for (key, value) in changes.iter().map(Change::encoded) {
+        for (key, value) in changes.iter().map(RecordChange::encoded) {
             match value {
                 Some(value) => drop(items.insert(key, value)),
                 None => drop(items.remove(&key)),
             }
         }
-        let found = Found::read(items.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
-        let (calls, owed, list) = (vec![(one, call)], vec![(third, 41)], vec![kept]);
-        assert_eq!(found, Found { calls, owed, list, unreadable: 0 });
+        let records = Records::read(items.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
+        let (calls, pending_releases, directory) = (vec![(first, call)], vec![(third, 41)], vec![entry]);
+        assert_eq!(records, Records { calls, pending_releases, directory, unreadable: 0 });
     }
 
     #[test]
-    fn an_old_line_says_nothing_of_who_is_ready_but_who_drained_is_known() {
-        let list = vec![
-            line("old", ServerState::Ready, 1_000),
-            line("new", ServerState::Ready, 90_000),
-            line("drains", ServerState::Draining, 1_000),
+    fn old_entries_expire_only_if_their_state_is_ready() {
+        let directory = vec![
+            record("old", ServerState::Ready, 1_000),
+            record("new", ServerState::Ready, 90_000),
+            record("drains", ServerState::Draining, 1_000),
         ];
-        let found = Found { list, ..Found::default() };
-        let hosts: Vec<&str> = found
-            .lines(Time(100_000_000), Span::from_millis(60_000))
-            .map(|kept| kept.line.host.as_str())
+        let records = Records { directory, ..Records::default() };
+        let hosts: Vec<&str> = records
+            .current_entries(Time(100_000_000), Span::from_millis(60_000))
+            .map(|record| record.entry.host.as_str())
             .collect();
         assert_eq!(hosts, ["new", "drains"]);
     }
 
     proptest! {
         #[test]
-        fn any_bytes_are_read_or_left_out(items in proptest::collection::vec((any::<Vec<u8>>(), any::<Vec<u8>>()), 0..40)) {
+        fn arbitrary_bytes_are_decoded_or_counted_as_unreadable(items in proptest::collection::vec((any::<Vec<u8>>(), any::<Vec<u8>>()), 0..40)) {
             let keys = items.iter().enumerate().map(|(n, (key, value))| {
-                let begins: &[u8] = [CALL, LIST, b""][n % 3];
-                ([begins, key].concat(), value)
+                let prefix: &[u8] = [CALL_PREFIX, DIRECTORY_PREFIX, b""][n % 3];
+                ([prefix, key].concat(), value)
             });
             let keyed: Vec<(Vec<u8>, &Vec<u8>)> = keys.collect();
-            let found = Found::read(keyed.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
-            prop_assert_eq!(found.calls.len() + found.owed.len() + found.list.len() + found.unreadable, items.len());
+            let records = Records::read(keyed.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
+            prop_assert_eq!(records.calls.len() + records.pending_releases.len() + records.directory.len() + records.unreadable, items.len());
         }
     }
 }
