--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,173 +1,173 @@
-//! What the decisions see and say: settings, events, actions, ids and time.
+//! Input and output types of the decision module: settings, events, actions, ids and time.
 //!
-//! The caller hands each [`Event`] with the present [`Time`] to `Controller::handle` and carries out the
-//! [`Action`]s in the order given, at that same time. Events come in the order in which they happened. A clock
-//! that stands still is fine; one that steps back is read as standing still. An event for a call, attempt,
-//! server or token that the controller does not know (any more) is ignored.
+//! The host program passes each [`Event`] with the current [`Time`] to `Controller::handle` and executes the
+//! returned [`Action`]s in order, at that same time. Events must be passed in the order in which they happened.
+//! The clock may stand still; a clock that steps back is treated as standing still. Events for a call, attempt,
+//! server or timer token that the controller does not know, or no longer knows, are ignored.
 
 use serde::{Deserialize, Serialize};
 
-/// A moment, in microseconds of the caller's own clock.
+/// A point in time, in microseconds of the host program's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The time passed from `earlier` to this moment; zero if `earlier` is later.
+    /// The time elapsed since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
-    /// This moment and `span` more.
+    /// The point in time `span` after this one.
     pub fn plus(self, span: Span) -> Time {
         Time(self.0.saturating_add(span.0))
     }
 }
 
-/// A length of time, in microseconds.
+/// A duration, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Span(pub u64);
 
 impl Span {
-    /// So many milliseconds.
+    /// A duration in milliseconds.
     pub const fn from_millis(ms: u64) -> Span {
         Span(ms.saturating_mul(1000))
     }
-    /// So many seconds; below zero or not a number counts as zero.
+    /// A duration in seconds; a negative number or NaN counts as zero.
     pub fn from_secs(secs: f64) -> Span {
         Span((secs.max(0.0) * 1e6) as u64)
     }
-    /// Where this length lies between `from` (0 and below) and `to` (1 and above).
+    /// The position of this duration on the scale from `from` (0.0) to `to` (1.0), clamped to 0.0..=1.0.
     pub fn fraction_between(self, from: Span, to: Span) -> f64 {
         if self <= from {
             return 0.0;
         }
         (self.saturating_sub(from).0 as f64 / to.saturating_sub(from).0.max(1) as f64).min(1.0)
     }
-    /// The length in seconds.
+    /// The duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// A share of this length; below zero or not a number counts as zero.
-    pub fn scale(self, part: f64) -> Span {
-        Span((self.0 as f64 * part.max(0.0)) as u64)
+    /// This duration multiplied by `factor`; a negative factor or NaN counts as zero.
+    pub fn scale(self, factor: f64) -> Span {
+        Span((self.0 as f64 * factor.max(0.0)) as u64)
     }
-    /// What is left after `other` has been taken off; zero at the least.
+    /// The difference to `other`; zero if `other` is longer.
     pub fn saturating_sub(self, other: Span) -> Span {
         Span(self.0.saturating_sub(other.0))
     }
 }
 
-/// A call, as numbered by the caller; never used twice in the life of a controller.
+/// The id of a call, assigned by the host program; never reused during the lifetime of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallId(pub u32);
 
-/// The number of an attempt within its call: 0 for the first [`Action::Send`], then 1, 2 …
+/// The index of an attempt within its call: 0 for the first [`Action::Send`], then 1, 2 …
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Attempt(pub u16);
 
-/// A core server's address; it stays the same when its process restarts. Carries no meaning.
+/// A call server's address, used as an opaque id; it does not change when the server's process restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerId {
-    /// Four bytes of address, first byte highest.
+    /// Address as a four-byte number, first byte most significant.
     pub address: u32,
     /// Port.
     pub port: u16,
 }
 
-/// A core server's place in the numbering that calls name their destination by.
+/// The number by which calls name a call server as their destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cell(pub u16);
 
-/// The number dialled; 0 is none.
+/// The dialled number; 0 means none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Number(pub u64);
 
-/// Permits of the right to send one call: so many 256ths of it.
+/// Permits to send calls to a cold call server, in units of 1/256 call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Permits(pub u16);
 
 impl Permits {
-    /// The permits in so many calls, 255.99 at most; below zero or not a number counts as zero.
+    /// The permits for `calls` calls, at most 255.99; a negative number or NaN counts as zero.
     pub fn from_calls(calls: f64) -> Permits {
         Permits((calls.max(0.0) * 256.0) as u16)
     }
-    /// How many calls they are.
+    /// The number of calls that these permits allow.
     pub fn as_calls(self) -> f64 {
         f64::from(self.0) / 256.0
     }
 }
 
-/// A timer's name, picked by the controller.
+/// Identifies a timer; chosen by the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TimerToken(pub u32);
 
-/// How often a call of a class may be carried out.
+/// How often a call of a class may be executed by call servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Repeats {
-    /// As often as it takes.
+    /// Any number of times.
     #[default]
     Free,
-    /// Repeats are recognised within a group of servers and a time.
+    /// A repeat is recognised as such within [`ClassSettings::dedup_scope`] and [`ClassSettings::dedup_window`].
     Guarded,
-    /// Once at most.
+    /// At most once.
     SingleShot,
 }
 
-/// The servers that recognise each other's repeats of a guarded call.
+/// The call servers among which repeats of a guarded call are recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DedupScope {
-    /// All of them.
+    /// All call servers.
     #[default]
     All,
-    /// Those in one zone.
+    /// The call servers of one zone.
     Zone,
-    /// Those in one cell.
+    /// The call servers of one cell.
     Cell,
 }
 
-/// What is known of a class of calls.
+/// Settings of a class of calls.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ClassSettings {
-    /// A call that stands within this earns its full worth.
+    /// Target set-up time: a call established within it earns its full worth.
     pub setup_target: Span,
-    /// Worth of a call; calls are cut in this order, least first.
+    /// Worth of a call; in a shortage calls are refused in order of worth, lowest first.
     pub worth: f64,
-    /// Share of the worth that a call earns when it stands after the aim.
+    /// Fraction of the worth that a call earns if it is established after the target set-up time.
     pub late_worth: f64,
-    /// How often it may be carried out.
+    /// How often a call may be executed.
     pub repeats: Repeats,
-    /// For guarded classes: the servers among which a repeat is safe.
+    /// For guarded classes: the call servers among which a repeat is safe.
     pub dedup_scope: DedupScope,
-    /// For guarded classes: how long a repeat is safe.
+    /// For guarded classes: how long after the first attempt a repeat is safe.
     pub dedup_window: Span,
-    /// Cells that may take the class; `None`: any.
+    /// Cells that may take calls of this class; `None`: any.
     pub cells: Option<Vec<Cell>>,
 }
 
-/// What a load report's values mean.
+/// The meaning of a value in a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadField {
     /// Free circuits or lines.
     Idle,
-    /// Circuits or lines in all.
+    /// Total circuits or lines.
     Circuits,
-    /// Messages in process at the processor.
+    /// Messages being processed.
     Busy,
-    /// Set-ups waiting at the processor.
+    /// Set-ups queued at the processor.
     Pending,
-    /// Share of the processor occupied.
+    /// Processor utilisation.
     Share,
-    /// Wait at the processor, in milliseconds.
+    /// Queueing delay at the processor, in milliseconds.
     Wait,
-    /// New set-ups a second that the processor can take from all senders.
+    /// New set-ups per second that the processor can take from all senders together.
     MaxRate,
-    /// Share of new set-ups that each sender is asked to keep back.
+    /// Fraction of new set-ups that each sender is asked to withhold.
     Reduce,
-    /// One that this version does not know.
+    /// A field that this version does not know.
     Unknown,
 }
 
 impl LoadField {
-    /// The field of this name, in the words of the wire or of the deployment's files.
+    /// The field of this name, as load reports or the deployment's files spell it.
     pub fn named(name: &str) -> LoadField {
         match name {
             "idle" | "x0" => LoadField::Idle,
@@ -183,103 +183,103 @@
     }
 }
 
-/// All that a controller is told at its start. Contradictions are read in the cautious sense: a share outside
-/// 0 to 1 is clamped, no gateways count as one, no attempts as one.
+/// Settings of a controller. Invalid values are replaced by safe ones: a share outside 0 to 1 is clamped, zero
+/// controllers and zero attempts count as one.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// Gateways in service, this one included.
+    /// Controllers in service, this one included.
     pub controllers: u32,
     /// Classes of calls, by index.
     pub classes: Vec<ClassSettings>,
-    /// The tenants' shares by index, in calls a second of all gateways together; empty: what is beyond a share is
-    /// worth as much as what is within.
+    /// The tenants' shares by index, in calls per second over all controllers; empty: calls beyond a tenant's share
+    /// are treated like calls within it.
     pub tenant_shares: Vec<f64>,
     /// Order of the values in load reports.
     pub load_fields: Vec<LoadField>,
-    /// Attempts allowed for one call; 0 counts as no limit given, which is read as 1.
+    /// Attempts allowed per call; 0 means not set and is treated as 1.
     pub max_attempts: u32,
     /// Whether [`Action::Cancel`] is allowed.
     pub may_cancel: bool,
-    /// Whether [`Action::Refuse`] may carry a time to stay away.
+    /// Whether [`Action::Refuse`] may carry a retry-after time.
     pub may_send_retry_after: bool,
-    /// The longest such time that callers obey.
+    /// The longest retry-after time that callers honour.
     pub max_retry_after: Span,
-    /// Whether the list of servers must be asked for ([`Action::SubscribeList`]).
+    /// Whether the server list has to be subscribed to ([`Action::SubscribeList`]).
     pub list_needs_subscription: bool,
-    /// Wait before a call is sent again after a time-out, reset or cancel.
+    /// Delay before a call is sent again after a time-out, reset or cancel.
     pub resend_delay: Span,
-    /// Share of its usual work that a server can do just after a start.
+    /// Fraction of its full capacity that a call server has just after a start.
     pub cold_share: f64,
-    /// Time from a start until a server is warm.
+    /// Time from the start of a call server until it is warm.
     pub warm_up: Span,
-    /// A cold server falls over when all gateways send it more than this many times what it can do for a while;
-    /// 0 or less: not told, read as 1.
+    /// A cold call server fails if all controllers together send it more than this many times its present capacity
+    /// for [`Settings::overload_time`]; 0 or less means not set and is treated as 1.
     pub overload_factor: f64,
-    /// For how long that takes.
+    /// How long an overload lasts until a cold call server fails.
     pub overload_time: Span,
-    /// Gap between two rounds of events.
+    /// Interval between two iterations of the host's event loop.
     pub tick: Span,
-    /// This gateway's own cell where gateways and servers are one mesh.
+    /// This controller's own cell, where controllers and call servers form one mesh.
     pub own_cell: Option<Cell>,
 }
 
-/// State of a server as the list tells it.
+/// State of a call server according to the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
-    /// Takes calls.
+    /// Takes new calls.
     Ready,
     /// Finishes its calls and takes no new ones.
     Draining,
-    /// Withdrawn.
+    /// Withdrawn from service.
     Gone,
 }
 
-/// One line of the list.
+/// One entry of the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Address.
+    /// The call server.
     pub server: ServerId,
-    /// Its number as a destination.
+    /// Its destination number.
     pub cell: Cell,
     /// Index of its zone.
     pub zone: u16,
-    /// Its latest start; 0: long past.
+    /// Its latest start; 0: long ago.
     pub started: Time,
     /// Its state.
     pub state: ServerState,
 }
 
-/// How a list relates to the one held.
+/// How a list relates to the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Changed entries only.
     Delta,
-    /// All lines; what is missing has left.
+    /// All entries; a server that is missing has left.
     Full,
-    /// All lines as last held before a restart, perhaps outdated.
+    /// All entries as stored before a restart; may be outdated.
     Cached,
-    /// The list could not be had; the one held stays in force.
+    /// The list could not be fetched; the current one stays in force.
     Failed,
 }
 
-/// A call that has just come in.
+/// An incoming call.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct NewCall {
     /// Its id.
     pub call: CallId,
     /// Index of its class.
     pub class: usize,
-    /// Index of its tenant; `None`: it names none that there is.
+    /// Index of its tenant; `None`: it names no known tenant.
     pub tenant: Option<usize>,
-    /// The number dialled.
+    /// The dialled number.
     pub number: Number,
-    /// When the caller gives this try up.
+    /// When the caller gives up waiting for an answer.
     pub valid_until: Time,
-    /// The server of first choice.
+    /// The call server requested by the caller.
     pub first_choice: Option<Cell>,
-    /// Whether the caller is known to have dialled before.
+    /// Whether the caller is known to be redialling.
     pub redialled: bool,
-    /// Whether another gateway routed it here; it may go to its first choice only.
+    /// Whether another controller forwarded it here; it may go to its first choice only.
     pub in_transit: bool,
 }
 
@@ -288,36 +288,36 @@
 pub enum Outcome {
     /// The call was set up and has now ended.
     Ok,
-    /// A fault, or all lines of the number were busy.
+    /// An error, or all lines of the dialled number were busy.
     Error,
-    /// Turned back; it never ran.
+    /// Rejected for lack of capacity; it was not executed.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer in time; it may have been executed.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection; it was not executed.
     ConnectFailed,
-    /// Cut.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Withdrawn.
+    /// Cancelled on request; it may have been executed.
     Cancelled,
-    /// Not sent; it never ran.
+    /// Not sent; it was not executed.
     NotSent,
 }
 
-/// Why an attempt failed, as far as told.
+/// Why an attempt failed, as reported by the call server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// Nothing said.
+    /// Not reported.
     None,
-    /// No free circuit or line at the server.
+    /// No free circuit or line at the call server.
     NoCircuit,
-    /// Turned back on the way.
+    /// Rejected on the way, before it was processed.
     TurnedBack,
-    /// The processor was full.
+    /// The processor's queue was full.
     ProcessorFull,
-    /// The processor was full and says how long to wait.
+    /// The processor's queue was full; carries the wait that it reported.
     ProcessorFullFor(Span),
-    /// All lines of the number are busy.
+    /// All lines of the dialled number are busy.
     NumberBusy,
 }
 
@@ -330,171 +330,171 @@
 pub struct AttemptEnd {
     /// The call.
     pub call: CallId,
-    /// Which of its attempts.
+    /// Index of the attempt.
     pub attempt: Attempt,
-    /// Where it was sent.
+    /// The call server that it was sent to.
     pub server: ServerId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Why.
+    /// The reported cause.
     pub cause: Cause,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub took: Span,
-    /// Whether the call itself is over; if not, a final answer is still owed.
+    /// Whether the call itself has ended; if not, the caller still needs a final answer.
     pub closed: bool,
-    /// The server's load, where told.
+    /// The call server's load report; empty if none was sent.
     pub load: LoadReport,
 }
 
-/// What the caller tells the controller.
+/// An input of the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the list of servers.
+    /// An update of the server list.
     List {
-        /// How to read it.
+        /// How it relates to the current list.
         kind: ListKind,
-        /// Its lines.
+        /// Its entries.
         entries: Vec<ServerEntry>,
     },
-    /// A call came in.
+    /// A call has come in.
     Call(NewCall),
-    /// The call stands: its final outcome.
+    /// The call is established; this is its final answer.
     Established {
         /// The call.
         call: CallId,
-        /// Which of its attempts.
+        /// Index of the attempt.
         attempt: Attempt,
-        /// The server that took it.
+        /// The call server that took it.
         server: ServerId,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         took: Span,
     },
-    /// An attempt has ended; each send gets exactly one.
+    /// An attempt has ended; reported exactly once per [`Action::Send`].
     Ended(AttemptEnd),
-    /// The caller hung up; the call is closed.
+    /// The caller has hung up; the call is over.
     HungUp(CallId),
-    /// A timer has run out.
+    /// A timer has expired.
     Timer(TimerToken),
-    /// A look at a server's load, asked for or not.
+    /// A load report, requested by [`Action::Probe`] or not.
     Load {
-        /// The server.
+        /// The call server.
         server: ServerId,
-        /// Whether it answered.
+        /// Whether the call server answered.
         outcome: Outcome,
-        /// Its values; those that were not looked at are -1.
+        /// Its values; those that were not measured are -1.
         load: LoadReport,
     },
-    /// Another gateway saw a server.
+    /// Another controller's observation of a call server.
     Observation {
-        /// The server.
+        /// The call server.
         server: ServerId,
-        /// The wait at its processor.
+        /// Queueing delay at its processor.
         wait: Span,
-        /// Whether it took no connection.
+        /// Whether it accepted no connection.
         silent: bool,
-        /// When; never later than it was.
+        /// Time of the observation, or earlier where it is uncertain; never later.
         at: Time,
     },
-    /// Another gateway lacks rights to a cold server.
+    /// Another controller requests permits for a cold call server.
     PermitsRequested {
-        /// Its number.
+        /// Index of that controller.
         from: u16,
-        /// The server.
+        /// The call server.
         server: ServerId,
-        /// How much it lacks.
+        /// Permits requested.
         permits: Permits,
     },
-    /// Another gateway lends rights to a cold server.
+    /// Another controller lends permits for a cold call server.
     PermitsReceived {
-        /// The server.
+        /// The call server.
         server: ServerId,
-        /// How much.
+        /// Permits received.
         permits: Permits,
     },
-    /// A message from another gateway.
+    /// A message from another controller.
     PeerMessage {
-        /// Its number.
+        /// Index of that controller.
         from: u16,
-        /// Its bytes.
+        /// The message bytes.
         data: Vec<u8>,
     },
 }
 
-/// What the controller asks the caller to do.
+/// An output of the controller, to be executed by the host program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a set-up; the attempt ends as timed out after `timeout`, or when the caller gives up.
+    /// Send a set-up. The attempt ends with [`Outcome::TimedOut`] after `timeout`, or when the caller gives up.
     Send {
         /// The call.
         call: CallId,
-        /// Where to.
+        /// The call server to send it to.
         server: ServerId,
-        /// Time-out; `None`: until the caller gives up.
+        /// Attempt timeout; `None`: until the caller gives up.
         timeout: Option<Span>,
     },
-    /// Final answer: refused.
+    /// Final answer: the call is refused.
     Refuse {
         /// The call.
         call: CallId,
-        /// How long the caller should stay away; zero: nothing said.
+        /// How long the caller should wait before it retries; zero: not stated.
         retry_after: Span,
     },
-    /// Final answer: failed.
+    /// Final answer: the call has failed.
     Fail {
         /// The call.
         call: CallId,
     },
-    /// Give up one attempt; its end is still to be reported.
+    /// Cancel an attempt; [`Event::Ended`] still has to report its end.
     Cancel {
         /// The call.
         call: CallId,
-        /// Which attempt.
+        /// Index of the attempt.
         attempt: Attempt,
     },
-    /// Hand back [`Event::Timer`] with this token after `after`, never in the same round.
+    /// Pass in [`Event::Timer`] with this token after `after`, never in the same event loop iteration.
     Timer {
-        /// From now.
+        /// Delay from now.
         after: Span,
-        /// To be handed back.
+        /// Token to pass back.
         token: TimerToken,
     },
-    /// Ask a server for its load; [`Event::Load`] answers.
+    /// Request a load report from a call server; [`Event::Load`] is the answer.
     Probe {
-        /// Which server.
+        /// The call server.
         server: ServerId,
     },
-    /// Close the idle connections to a server.
+    /// Close the idle connections to a call server.
     CloseIdle {
-        /// Which server.
+        /// The call server.
         server: ServerId,
     },
-    /// Send at most 256 bytes to another gateway, or to all.
+    /// Send at most 256 bytes to another controller, or to all.
     SendToPeers {
-        /// The gateway's number; `None`: every one.
+        /// Index of the receiving controller; `None`: all.
         to: Option<u16>,
-        /// The message.
+        /// The message bytes.
         data: Vec<u8>,
     },
-    /// A call found no right to go to a cold server: others may lend so much.
+    /// A call found too few permits for a cold call server: request them from other controllers.
     RequestPermits {
-        /// The server.
+        /// The call server.
         server: ServerId,
-        /// How much is lacked.
+        /// Permits missing.
         permits: Permits,
     },
-    /// Rights were taken off here for another gateway.
+    /// Permits were taken from the local token bucket: send them to another controller.
     LendPermits {
-        /// Its number.
+        /// Index of the receiving controller.
         to: u16,
-        /// The server.
+        /// The call server.
         server: ServerId,
-        /// How much.
+        /// Permits lent.
         permits: Permits,
     },
-    /// Subscribe to changes of the list (`true`) or end that; [`Event::List`] answers.
+    /// Subscribe to changes of the server list (`true`) or unsubscribe; [`Event::List`] is the answer.
     SubscribeList(bool),
-    /// Ask for the whole list once; [`Event::List`] answers.
+    /// Fetch the whole server list once; [`Event::List`] is the answer.
     FetchList,
-    /// A line for the log of the people on call.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,12 +1,12 @@
-//! Draws from distributions. Mechanical: the source of randomness is passed in.
+//! Samples from probability distributions; the source of randomness is passed in.
 
 use rand_core::RngCore;
 
-/// Draws from any source of randomness.
+/// Samples from a source of randomness.
 pub trait Sample {
-    /// Evenly from 0 (included) to 1 (excluded).
+    /// A sample from the uniform distribution over [0, 1).
     fn uniform(&mut self) -> f64;
-    /// From the exponential distribution of mean 1.
+    /// A sample from the exponential distribution with mean 1.
     fn exponential(&mut self) -> f64;
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -23,9 +23,9 @@
     Span, Time, TimerToken,
 };
 use crate::random::Sample;
-use crate::shares::Shares;
+use crate::shares::TenantShares;
 use crate::timers::{LogLimiter, Timers, UsualRate};
-use crate::window::{ByRank, Window};
+use crate::window::{DemandByRank, Window};
 
 /// Cutoff factor K; the document's example has 1.5. Lower: cuts at noise. Higher (1.5 and 2 were
 /// tried): the wait at the balance is longer, the answer to a growing wait steeper, and all gateways
@@ -248,11 +248,11 @@
     /// Numbers whose lines were all busy.
     numbers: BTreeMap<Number, Window>,
     /// Calls by rank of worth, to know what share a cut in the lowest would be.
-    demand: ByRank,
+    demand: DemandByRank,
     /// Calls a second that a server of mean size takes from this gateway in usual times.
     usual: UsualRate,
     /// What of the calls that are taken each tenant may have.
-    shares: Shares,
+    shares: TenantShares,
     /// What others are to be asked for.
     #[serde(skip)]
     lacked: Vec<Action>,
@@ -264,7 +264,7 @@
     /// A controller that knows nothing but its settings. The same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let shortest_aim = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
-        let shares = Shares::of(&settings.tenant_shares);
+        let shares = TenantShares::new(&settings.tenant_shares);
         Self {
             settings,
             rng: Pcg32::seed_from_u64(seed),
@@ -275,7 +275,7 @@
             timers: Timers::default(),
             kept: None,
             numbers: BTreeMap::new(),
-            demand: ByRank::new(LONG_WINDOW),
+            demand: DemandByRank::new(LONG_WINDOW),
             usual: UsualRate::new(LONG_WINDOW),
             shares,
             lacked: Vec::new(),
@@ -286,14 +286,14 @@
     /// From now on decides by these settings; what was seen so far stays. The classes keep their places.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.shortest_aim = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
-        self.shares.follow(&settings.tenant_shares);
+        self.shares.update(&settings.tenant_shares);
         self.settings = settings;
     }
 
     /// Takes one event and appends what is to be done, in order. A clock that steps back stands still.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.usual.begins(self.now) && self.settings.list_needs_subscription {
+        if self.usual.start(self.now) && self.settings.list_needs_subscription {
             actions.push(Action::SubscribeList(true));
         }
         match event {
@@ -363,7 +363,7 @@
         if self.calls.contains_key(&new.call) {
             return;
         }
-        let within = self.shares.takes(new.tenant);
+        let within = self.shares.charge(new.tenant);
         let (now, rank) = (self.now, self.worth_now(&new));
         self.demand.add(now, rank);
         let draw = self.rng.uniform();
@@ -490,7 +490,7 @@
     fn draw_refuses(&mut self, id: ServerId, call: &Call) -> bool {
         let cut = self.cut(id);
         let cut = self.cut_of(cut, call.rank);
-        call.draw < self.shares.cut(cut, call.within)
+        call.draw < self.shares.refused_fraction(cut, call.within)
     }
 
     /// When this gateway may next test a silent server; drawn, so that the gateways do not test together.
@@ -524,7 +524,7 @@
             self.mark_silent(id);
         }
         let Some(server) = self.servers.get_mut(&id) else { return 1.0 };
-        server.counts.stretch(span);
+        server.counts.set_span(span);
         let (requests, accepts) = server.counts.counts(now);
         let late = server.out.iter().filter(|o| now.since(o.sent) > from).count();
         let worth = 1.0 - server.wait_now(now, hold).fraction_between(from, to);
@@ -535,7 +535,7 @@
 
     /// The share of the calls of this worth to cut, when `cut` of all must go: the least worth first.
     fn cut_of(&mut self, cut: f64, worth: f64) -> f64 {
-        let (below, same, all) = self.demand.around(self.now, worth);
+        let (below, same, all) = self.demand.counts_around(self.now, worth);
         if same <= 0.0 {
             return cut;
         }
@@ -663,7 +663,7 @@
 
     /// What is usual here; from what comes in while nothing has stood yet, as after a restart.
     fn usual_rate(&mut self) -> f64 {
-        let came = self.demand.around(self.now, 0.0).2;
+        let came = self.demand.counts_around(self.now, 0.0).2;
         let size = if self.usual.is_known() { 0.0 } else { self.ready_size() };
         self.usual.rate(self.now, came, size).max(RATE_LEAST)
     }
@@ -791,9 +791,9 @@
         let in_good_time = took <= self.shortest_aim.scale(PRESSED_TO);
         self.count(server, 1, u32::from(in_good_time));
         let size = self.ready_size();
-        self.usual.took(self.now, size);
+        self.usual.record_accept(self.now, size);
         let in_a_window = self.usual_rate() * size * WINDOW.secs();
-        self.shares.taken(in_a_window);
+        self.shares.record_accept(in_a_window);
         let Some(call) = self.calls.remove(&id) else { return };
         if !self.is_first_choice(server, &call) {
             self.kept = Some(server);
@@ -941,7 +941,7 @@
         if self.numbers.len() >= NUMBERS && !self.numbers.contains_key(&number) {
             self.numbers.pop_first();
         }
-        let fresh = Window::with(LONG_WINDOW, self.now, 1, 0);
+        let fresh = Window::starting_with(LONG_WINDOW, self.now, 1, 0);
         self.numbers.entry(number).or_insert(fresh);
     }
 
@@ -1028,7 +1028,7 @@
     }
 
     fn log(&mut self, line: &'static str, actions: &mut Vec<Action>) {
-        actions.extend(self.logged.says(self.now, LOG_EVERY, line).map(Action::Log));
+        actions.extend(self.logged.admit(self.now, LOG_EVERY, line).map(Action::Log));
     }
 }
 
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -1,87 +1,100 @@
-//! Which calls are within their tenant's share of what is taken. It decides nothing: what is cut is `rules`' to say.
+//! Accounting of the tenants' shares of the accepted calls. Which calls are refused is decided in `rules`.
 //!
-//! The settings name each tenant's share of the whole service in calls a second; a controller sees some of the calls, and
-//! is not told how many of all. So it goes by what is taken here: each call that a server takes is shared out among the
-//! tenants as their shares are, and a call of one that has nothing left of that is beyond its share. In a shortage, when
-//! all that can be taken is taken, these are the tenants that take more than theirs; else it matters to nobody.
+//! The settings give each tenant's share of the whole service in calls per second, but a controller receives only some of
+//! the calls and does not know what fraction. It therefore divides the calls accepted here: each accepted call adds
+//! credit to all tenants in proportion to their shares, and a call of a tenant without credit counts as beyond its share.
+//! In a shortage, when call servers accept all they can, these are the tenants that use more than their share; at other
+//! times no call is refused, so the distinction has no effect.
 
 use serde::{Deserialize, Serialize};
 
-/// A tenant's account.
+/// The credit account of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 struct Account {
-    /// What comes to it of each call that is taken.
-    part: f64,
-    /// Calls that it may still have.
-    holds: f64,
+    /// The tenant's fraction of the service: the credit added per accepted call.
+    #[serde(rename = "part")]
+    fraction: f64,
+    /// Credit left, in calls.
+    #[serde(rename = "holds")]
+    credit: f64,
 }
 
-/// The part of the calls that is beyond is reckoned over no fewer than this.
-const CALLS: f64 = 8.0;
+/// The fraction of calls beyond their shares is averaged over at least this many calls.
+const MIN_CALLS_AVERAGED: f64 = 8.0;
 
-/// The accounts of all tenants, by their places in the settings; none where there are no shares.
+/// The accounts of all tenants, by their index in the settings; empty if no shares are set.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Shares {
+pub struct TenantShares {
     accounts: Vec<Account>,
-    /// The part of the calls of the last while that were beyond.
-    beyond: f64,
-    /// Calls that are taken in a while.
-    a_while: f64,
+    /// Moving average of the fraction of calls beyond their tenants' shares.
+    #[serde(rename = "beyond")]
+    beyond_fraction: f64,
+    /// Calls usually accepted in the throttle's window; the moving average spans as many calls.
+    #[serde(rename = "a_while")]
+    calls_per_window: f64,
 }
 
-impl Shares {
-    /// Accounts for these shares, in calls a second of the whole service; what is no share, or below zero, counts as
-    /// none. Each begins with one call.
-    pub fn of(shares: &[f64]) -> Shares {
+impl TenantShares {
+    /// Accounts for these shares, given in calls per second of the whole service; a share that is negative or not finite
+    /// counts as zero. Each account starts with a credit of one call.
+    pub fn new(shares: &[f64]) -> TenantShares {
         let share = |share: &f64| if share.is_finite() { share.max(0.0) } else { 0.0 };
         let all: f64 = shares.iter().map(share).sum();
         if all <= 0.0 {
-            return Shares::default();
+            return TenantShares::default();
         }
-        let accounts = shares.iter().map(|one| Account { part: share(one) / all, holds: 1.0 }).collect();
-        Shares { accounts, ..Shares::default() }
+        let accounts = shares.iter().map(|one| Account { fraction: share(one) / all, credit: 1.0 }).collect();
+        TenantShares { accounts, ..TenantShares::default() }
     }
 
-    /// Goes on with these shares; who keeps its part of the whole keeps what it holds.
-    pub fn follow(&mut self, shares: &[f64]) {
-        let mut next = Shares { beyond: self.beyond, a_while: self.a_while, ..Shares::of(shares) };
+    /// Applies changed shares. A tenant whose fraction of the service stays the same keeps its credit.
+    pub fn update(&mut self, shares: &[f64]) {
+        let mut next = TenantShares {
+            beyond_fraction: self.beyond_fraction,
+            calls_per_window: self.calls_per_window,
+            ..TenantShares::new(shares)
+        };
         for (account, before) in next.accounts.iter_mut().zip(&self.accounts) {
-            if account.part == before.part {
-                account.holds = before.holds;
+            if account.fraction == before.fraction {
+                account.credit = before.credit;
             }
         }
         *self = next;
     }
 
-    /// A call of a tenant came; whether it is within its share. One whose tenant has none is not, where there are any.
-    pub fn takes(&mut self, tenant: Option<usize>) -> bool {
+    /// Charges a new call to its tenant and returns whether it is within the tenant's share. If shares are set, a call of
+    /// a tenant without a share is not.
+    pub fn charge(&mut self, tenant: Option<usize>) -> bool {
         if self.accounts.is_empty() {
             return true;
         }
-        let account = tenant.and_then(|tenant| self.accounts.get_mut(tenant)).filter(|a| a.holds >= 1.0);
-        let within = account.map(|account| account.holds -= 1.0).is_some();
-        self.beyond += (f64::from(u8::from(!within)) - self.beyond) / self.a_while.max(CALLS);
+        let account = tenant.and_then(|tenant| self.accounts.get_mut(tenant)).filter(|a| a.credit >= 1.0);
+        let within = account.map(|account| account.credit -= 1.0).is_some();
+        self.beyond_fraction += (f64::from(u8::from(!within)) - self.beyond_fraction)
+            / self.calls_per_window.max(MIN_CALLS_AVERAGED);
         within
     }
 
-    /// What to cut of the calls within their shares, or of those beyond, when `cut` of all must go: those beyond first. It
-    /// goes by the calls of the last while, the same that the accounts go by. Guards against a burst in which all are
-    /// beyond before that shows among the calls of a longer time, and twice as many are cut as must be.
-    pub fn cut(&self, cut: f64, within: bool) -> f64 {
+    /// The fraction to refuse of the calls within their shares, or of those beyond, if the fraction `cut` of all calls has
+    /// to be refused; calls beyond their shares are refused first. The fraction beyond is averaged over the same period
+    /// as the credits. A longer average would lag behind a burst in which all calls are beyond their shares, and twice
+    /// as many calls as necessary would be refused.
+    pub fn refused_fraction(&self, cut: f64, within: bool) -> f64 {
         match within {
-            _ if self.beyond <= 0.0 || self.beyond >= 1.0 => cut,
-            true => ((cut - self.beyond) / (1.0 - self.beyond)).max(0.0),
-            false => (cut / self.beyond).min(1.0),
+            _ if self.beyond_fraction <= 0.0 || self.beyond_fraction >= 1.0 => cut,
+            true => ((cut - self.beyond_fraction) / (1.0 - self.beyond_fraction)).max(0.0),
+            false => (cut / self.beyond_fraction).min(1.0),
         }
     }
 
-    /// A server took a call: it is shared out. `most`: calls that are taken in a while; what comes to a tenant of so many,
-    /// or one call, is kept for it, the rest lapses. Guards against a tenant that was quiet for long and then crowds out the
-    /// others.
-    pub fn taken(&mut self, most: f64) {
-        self.a_while = most;
+    /// Records an accepted call and adds credit to all tenants. `calls_per_window` is the number of calls usually accepted
+    /// in the throttle's window; a tenant's credit is capped at its fraction of that, or at one call if that is more.
+    /// The cap guards against a tenant that has been idle for long and then crowds out the others.
+    pub fn record_accept(&mut self, calls_per_window: f64) {
+        self.calls_per_window = calls_per_window;
         for account in &mut self.accounts {
-            account.holds = (account.holds + account.part).min((most * account.part).max(1.0));
+            account.credit =
+                (account.credit + account.fraction).min((calls_per_window * account.fraction).max(1.0));
         }
     }
 }
@@ -90,16 +103,16 @@
 mod tests {
     use super::*;
 
-    /// Guards against a tenant within its share that is held for one beyond it because another sends too much.
+    /// Guards against calls of a tenant within its share that count as beyond it because another tenant sends too many.
     #[test]
-    fn who_takes_more_than_its_share_of_what_is_taken_is_beyond_it() {
-        let mut shares = Shares::of(&[30.0, 10.0]);
+    fn only_calls_of_a_tenant_above_its_fraction_of_the_accepted_calls_are_beyond_its_share() {
+        let mut shares = TenantShares::new(&[30.0, 10.0]);
         let mut within = [0, 0];
-        // The second sends as much as the first, and half of all is taken.
+        // Both tenants send the same number of calls, and half of all calls are accepted.
         for n in 0..4_000 {
-            within[n % 2] += usize::from(shares.takes(Some(n % 2)));
+            within[n % 2] += usize::from(shares.charge(Some(n % 2)));
             if n % 2 == 1 {
-                shares.taken(20.0);
+                shares.record_accept(20.0);
             }
         }
         assert!((1_480..=1_520).contains(&within[0]), "{within:?}");
@@ -107,28 +120,33 @@
     }
 
     #[test]
-    fn a_tenant_that_was_quiet_holds_no_more_than_a_while_brings() {
-        let mut shares = Shares::of(&[30.0, 10.0]);
-        (0..1_000).for_each(|_| shares.taken(20.0));
-        assert_eq!((0..100).filter(|_| shares.takes(Some(0))).count(), 15);
-        assert_eq!((0..100).filter(|_| shares.takes(Some(1))).count(), 5);
+    fn credit_of_an_idle_tenant_is_capped_at_one_window() {
+        let mut shares = TenantShares::new(&[30.0, 10.0]);
+        (0..1_000).for_each(|_| shares.record_accept(20.0));
+        assert_eq!((0..100).filter(|_| shares.charge(Some(0))).count(), 15);
+        assert_eq!((0..100).filter(|_| shares.charge(Some(1))).count(), 5);
     }
 
-    /// Guards against a cut of more, or less, than must go.
+    /// Guards against refusing more or fewer calls than necessary.
     #[test]
-    fn those_beyond_go_first_and_as_many_go_as_must() {
-        let mut shares = Shares::of(&[30.0, 10.0]);
-        assert_eq!([shares.cut(0.3, true), shares.cut(0.3, false)], [0.3, 0.3], "nobody is beyond");
+    fn calls_beyond_their_share_are_refused_first_and_the_total_is_as_requested() {
+        let mut shares = TenantShares::new(&[30.0, 10.0]);
+        assert_eq!(
+            [shares.refused_fraction(0.3, true), shares.refused_fraction(0.3, false)],
+            [0.3, 0.3],
+            "no call is beyond its share"
+        );
         for n in 0..4_000 {
-            shares.takes(Some(n % 2));
+            shares.charge(Some(n % 2));
             if n % 2 == 1 {
-                shares.taken(20.0);
+                shares.record_accept(20.0);
             }
         }
-        let beyond = shares.beyond;
+        let beyond = shares.beyond_fraction;
         assert!((0.4..0.6).contains(&beyond), "{beyond}");
         for cut in [0.0, 0.1, 0.3, 0.5, 0.7, 0.9, 1.0] {
-            let (of_within, of_beyond) = (shares.cut(cut, true), shares.cut(cut, false));
+            let (of_within, of_beyond) =
+                (shares.refused_fraction(cut, true), shares.refused_fraction(cut, false));
             let all = of_within * (1.0 - beyond) + of_beyond * beyond;
             assert!((all - cut).abs() < 1e-9, "{cut}: {all}");
             assert!(of_within <= cut && cut <= of_beyond && (of_within == 0.0 || of_beyond == 1.0), "{cut}");
@@ -136,26 +154,29 @@
     }
 
     #[test]
-    fn odd_shares_and_tenants_get_a_sound_answer() {
+    fn invalid_shares_and_unknown_tenants_are_handled() {
         for none in [&[][..], &[0.0], &[-1.0, f64::NAN]] {
-            assert!(Shares::of(none).takes(None) && Shares::of(none).takes(Some(7)), "{none:?}");
+            assert!(
+                TenantShares::new(none).charge(None) && TenantShares::new(none).charge(Some(7)),
+                "{none:?}"
+            );
         }
-        let mut shares = Shares::of(&[f64::INFINITY, 5.0]);
-        assert!(!shares.takes(None) && !shares.takes(Some(2)) && shares.takes(Some(1)));
-        shares.taken(f64::NAN);
-        assert!(shares.takes(Some(1)));
+        let mut shares = TenantShares::new(&[f64::INFINITY, 5.0]);
+        assert!(!shares.charge(None) && !shares.charge(Some(2)) && shares.charge(Some(1)));
+        shares.record_accept(f64::NAN);
+        assert!(shares.charge(Some(1)));
     }
 
-    /// Guards against a reload that gives each tenant a fresh start, and against one that keeps what is another's.
+    /// Guards against a reload that resets all credits, and against one that keeps credit under a different share.
     #[test]
-    fn new_settings_keep_what_is_held_where_the_part_is_the_same() {
-        let mut shares = Shares::of(&[5.0, 5.0]);
-        assert!(shares.takes(Some(0)));
-        shares.follow(&[9.0, 9.0]);
-        assert!(!shares.takes(Some(0)) && shares.takes(Some(1)));
-        shares.follow(&[2.0, 8.0]);
-        assert!(shares.takes(Some(0)) && shares.takes(Some(1)));
-        shares.follow(&[]);
-        assert!(shares.takes(Some(0)) && shares.takes(None));
+    fn changed_settings_keep_the_credit_of_tenants_with_an_unchanged_fraction() {
+        let mut shares = TenantShares::new(&[5.0, 5.0]);
+        assert!(shares.charge(Some(0)));
+        shares.update(&[9.0, 9.0]);
+        assert!(!shares.charge(Some(0)) && shares.charge(Some(1)));
+        shares.update(&[2.0, 8.0]);
+        assert!(shares.charge(Some(0)) && shares.charge(Some(1)));
+        shares.update(&[]);
+        assert!(shares.charge(Some(0)) && shares.charge(None));
     }
 }
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,4 +1,5 @@
-//! Small helpers of the decisions that decide nothing: every time and number is passed in.
+//! Helpers of the decision module: timers, a rate limit for log lines, and an estimate of the usual call rate. They
+//! read no clock: every time is passed in.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +8,7 @@
 use crate::interface::{Span, Time, TimerToken};
 use crate::window::Window;
 
-/// What timers that were set are for.
+/// Pending timers with the purpose of each.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Timers<W> {
     set: BTreeMap<TimerToken, W>,
@@ -21,28 +22,28 @@
 }
 
 impl<W> Timers<W> {
-    /// The token of a new timer for this.
-    pub fn set(&mut self, what: W) -> TimerToken {
+    /// Registers a timer and returns its token.
+    pub fn set(&mut self, purpose: W) -> TimerToken {
         let token = TimerToken(self.next);
         self.next = self.next.wrapping_add(1);
-        self.set.insert(token, what);
+        self.set.insert(token, purpose);
         token
     }
 
-    /// What a timer that has run out was for.
+    /// Removes an expired timer and returns its purpose.
     pub fn take(&mut self, token: TimerToken) -> Option<W> {
         self.set.remove(&token)
     }
 }
 
-/// Lines of a log, each said now and then only.
+/// Limits how often each log line is written.
 #[derive(Debug, Default)]
 pub struct LogLimiter(BTreeMap<&'static str, Time>);
 
 impl LogLimiter {
-    /// The line, unless it was said within `every`.
-    pub fn says(&mut self, now: Time, every: Span, line: &'static str) -> Option<String> {
-        if self.0.get(line).is_some_and(|&at| now.since(at) < every) {
+    /// Returns the line, unless it was returned within the last `interval`.
+    pub fn admit(&mut self, now: Time, interval: Span, line: &'static str) -> Option<String> {
+        if self.0.get(line).is_some_and(|&at| now.since(at) < interval) {
             return None;
         }
         self.0.insert(line, now);
@@ -50,58 +51,62 @@
     }
 }
 
-/// A rate is reckoned over no less than this: fewer calls tell nothing of it.
-const RATE_FROM: Span = Span::from_millis(3_000);
+/// Rates are averaged over at least this time: over a shorter time too few calls come for a usable estimate.
+const MIN_AVERAGING_TIME: Span = Span::from_millis(3_000);
 
-/// What servers take in usual times, in calls a second for each of mean size: the most that was seen. Guards against a
-/// ramp that starts from the little that stands in the midst of a trouble.
+/// The usual rate of accepted set-ups per call server of mean size: the highest rate measured so far. Guards against a
+/// ramp that is derived from the few calls accepted in the middle of an outage.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct UsualRate {
     span: Span,
-    /// Accepts of all servers together.
-    taken: Window,
-    most: f64,
-    began: Option<Time>,
+    /// Accepts of all call servers together.
+    #[serde(rename = "taken")]
+    accepts: Window,
+    /// In calls per second.
+    #[serde(rename = "most")]
+    highest: f64,
+    #[serde(rename = "began")]
+    started_at: Option<Time>,
 }
 
 impl UsualRate {
-    /// Nothing seen yet; a rate is reckoned over the last `span`.
+    /// No measurement yet; rates are averaged over the last `span`.
     pub fn new(span: Span) -> Self {
-        Self { span, taken: Window::new(span), most: 0.0, began: None }
+        Self { span, accepts: Window::new(span), highest: 0.0, started_at: None }
     }
 
-    /// Whether this is the first moment that there is.
-    pub fn begins(&mut self, now: Time) -> bool {
-        let first = self.began.is_none();
-        self.began.get_or_insert(now);
+    /// Starts the measurement if it has not started yet; returns whether it did so now.
+    pub fn start(&mut self, now: Time) -> bool {
+        let first = self.started_at.is_none();
+        self.started_at.get_or_insert(now);
         first
     }
 
-    /// A call was taken; `size`: of all servers that take calls, in those of mean size.
-    pub fn took(&mut self, now: Time, size: f64) {
-        self.taken.add(now, 0, 1);
-        let passed = self.passed(now);
-        if size > 0.0 && passed > RATE_FROM {
-            let rate = f64::from(self.taken.counts(now).1) / passed.secs();
-            self.most = self.most.max(rate / size);
+    /// Records an accepted set-up. `size` is the total size of the call servers in service, in units of the mean size.
+    pub fn record_accept(&mut self, now: Time, size: f64) {
+        self.accepts.add(now, 0, 1);
+        let elapsed = self.elapsed(now);
+        if size > 0.0 && elapsed > MIN_AVERAGING_TIME {
+            let rate = f64::from(self.accepts.counts(now).1) / elapsed.secs();
+            self.highest = self.highest.max(rate / size);
         }
     }
 
-    /// Whether calls were taken for long enough to tell.
+    /// Whether set-ups have been accepted for long enough to estimate the rate.
     pub fn is_known(&self) -> bool {
-        self.most > 0.0
+        self.highest > 0.0
     }
 
-    /// The rate; from the calls that came within the span while none was taken.
-    pub fn rate(&self, now: Time, came: f64, size: f64) -> f64 {
+    /// The usual rate; until it is known, an estimate from the `arrivals` within the span.
+    pub fn rate(&self, now: Time, arrivals: f64, size: f64) -> f64 {
         if self.is_known() {
-            return self.most;
+            return self.highest;
         }
-        came / self.passed(now).max(RATE_FROM).secs() / size.max(1.0)
+        arrivals / self.elapsed(now).max(MIN_AVERAGING_TIME).secs() / size.max(1.0)
     }
 
-    /// What of the span has passed since the start.
-    fn passed(&self, now: Time) -> Span {
-        now.since(self.began.unwrap_or(now)).min(self.span)
+    /// Time since the start, at most the span.
+    fn elapsed(&self, now: Time) -> Span {
+        now.since(self.started_at.unwrap_or(now)).min(self.span)
     }
 }
--- a/src/window.rs
+++ b/src/window.rs
@@ -1,4 +1,4 @@
-//! A sliding count of requests and accepts. Mechanical: every number is passed in.
+//! Sliding-window counters of requests and accepts; every time is passed in.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 
 use crate::interface::{Span, Time};
 
-/// Requests and accepts of the last `span`.
+/// Counts of the requests and accepts within the last `span`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Window {
     span: Span,
@@ -16,13 +16,13 @@
 }
 
 impl Window {
-    /// An empty count that forgets what is older than `span`.
+    /// Empty counts; entries older than `span` expire.
     pub fn new(span: Span) -> Self {
         Self { span, entries: VecDeque::new(), requests: 0, accepts: 0 }
     }
 
-    /// A count that begins with these.
-    pub fn with(span: Span, now: Time, requests: u32, accepts: u32) -> Self {
+    /// Counts that start with the given numbers.
+    pub fn starting_with(span: Span, now: Time, requests: u32, accepts: u32) -> Self {
         let mut window = Self::new(span);
         window.add(now, requests, accepts);
         window
@@ -33,28 +33,28 @@
         self.entries.push_back((now, requests, accepts));
         self.requests += requests;
         self.accepts += accepts;
-        self.forget(now);
+        self.remove_expired(now);
     }
 
-    /// Drops what has left the window and returns (requests, accepts).
+    /// Returns (requests, accepts) within the window.
     pub fn counts(&mut self, now: Time) -> (u32, u32) {
-        self.forget(now);
+        self.remove_expired(now);
         (self.requests, self.accepts)
     }
 
-    /// From now on forgets what is older than `span`.
-    pub fn stretch(&mut self, span: Span) {
+    /// Changes the length of the window.
+    pub fn set_span(&mut self, span: Span) {
         self.span = span;
     }
 
-    /// Starts anew.
+    /// Resets the counts.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.requests = 0;
         self.accepts = 0;
     }
 
-    fn forget(&mut self, now: Time) {
+    fn remove_expired(&mut self, now: Time) {
         while let Some(&(at, requests, accepts)) = self.entries.front() {
             if now.since(at) < self.span {
                 break;
@@ -66,29 +66,29 @@
     }
 }
 
-/// Calls of a while by their rank.
+/// Counts of the calls within the last `span`, by rank.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ByRank {
+pub struct DemandByRank {
     span: Span,
     ranks: Vec<(f64, Window)>,
 }
 
-impl ByRank {
-    /// None yet; what is older than `span` is forgotten.
+impl DemandByRank {
+    /// No calls yet; calls older than `span` expire.
     pub fn new(span: Span) -> Self {
         Self { span, ranks: Vec::new() }
     }
 
-    /// A call of this rank came.
+    /// Records a call of this rank.
     pub fn add(&mut self, now: Time, rank: f64) {
         match self.ranks.iter_mut().find(|(r, _)| r.total_cmp(&rank).is_eq()) {
             Some((_, window)) => window.add(now, 1, 0),
-            None => self.ranks.push((rank, Window::with(self.span, now, 1, 0))),
+            None => self.ranks.push((rank, Window::starting_with(self.span, now, 1, 0))),
         }
     }
 
-    /// Calls of a lower rank, those of this one, and all.
-    pub fn around(&mut self, now: Time, rank: f64) -> (f64, f64, f64) {
+    /// Numbers of calls of lower rank, of this rank, and of any rank.
+    pub fn counts_around(&mut self, now: Time, rank: f64) -> (f64, f64, f64) {
         let (mut below, mut same, mut all) = (0.0, 0.0, 0.0);
         for (other, window) in &mut self.ranks {
             let calls = f64::from(window.counts(now).0);
