--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,11 +1,11 @@
-//! Every decision of lockpoint. The types, events and actions stand in `src/interface.rs`.
+//! The decision module of lockpoint; its types, events and actions are in `src/interface.rs`.
 //!
-//! The ordinary path is the adaptive throttling of C4-183506. Per core server a sliding window counts
-//! `requests` (calls that had to be placed there, also those refused here) and `accepts` (set-ups that
-//! it took). A new call is turned away from a server with probability max(0, (requests - K x accepts) /
-//! (requests + 1)); a call that this draw would refuse is first diverted to another server whose own
-//! draw lets it pass, preferring the one that last took a diverted call. The departures, each for a
-//! symptom, stand beside the code that makes them; `docs/design.md` lists them.
+//! The base is the adaptive throttling of document C4-183506. Per call server a sliding window counts
+//! `requests` (calls that had to be placed there, including those refused here) and `accepts` (set-ups that
+//! it took). A server refuses a new call with probability max(0, (requests - K x accepts) / (requests + 1));
+//! one random draw per call decides for all servers. Before a call is refused it is diverted to another
+//! server that passes it, preferably the one that last took a diverted call. Each departure from the base is
+//! explained where it is made; `docs/design.md` lists them.
 
 #[cfg(test)]
 mod in_flight;
@@ -27,270 +27,267 @@
 use crate::timers::{LogLimiter, Timers, UsualRate};
 use crate::window::{DemandByRank, Window};
 
-/// Cutoff factor K; the document's example has 1.5. Lower: cuts at noise. Higher (1.5 and 2 were
-/// tried): the wait at the balance is longer, the answer to a growing wait steeper, and all gateways
-/// swing together.
-const CUTOFF: f64 = 1.3;
-/// Window of the counts. Four and ten seconds let refusals of a trouble that has passed feed new ones,
-/// all the more as each refused caller dials again; much less counts noise.
-const WINDOW: Span = Span::from_millis(2_000);
-/// The window is longer, up to the long one, where it would hold fewer than this many usual calls: one
-/// miss would shut a healthy server. Higher: slow. Lower: counts noise.
-const WINDOW_CALLS: f64 = 4.0;
-/// Waits up to this share of the shortest aim are healthy. Lower: diverts at chance queues. Higher:
-/// acts late.
-const PRESSED_FROM: f64 = 0.05;
-/// At waits from this share of the shortest aim on, accepts count nothing: a call sent now would stand
-/// too late.
-/// For a gateway with fresh news; a blind one acts earlier, since the queue may have grown as long unseen.
-const PRESSED_TO: f64 = 0.55;
-/// A 'full' says that the wait is past what any call can use: this many times the shortest aim.
-const FULL_MEANS: f64 = 1.5;
-/// A 'full' leaves so much of a call's draw, lest it try all in turn. Lower: refuses what others would take.
-const FULL_LEAVES: f64 = 0.7;
-/// A wait that was seen holds for this many times the time for which the gateway is blind (see `blind`),
-/// and shrinks from then on. Lower: each of many gateways forgets a jam before its next call shows it.
-/// Higher: all stay away for long from a server that is well again.
-const HOLD: f64 = 6.0;
-/// So many gateways are not blind, however seldom each calls: one call more is then much of what a queue
-/// can grow by unseen. Higher: mid-sized fleets forget jams. Lower: small fleets refuse at chance queues.
-const WATCHED_BY: f64 = 10.0;
-/// A usual rate under this many calls a second is read as this.
-const RATE_LEAST: f64 = 0.1;
-/// After that a wait shrinks by this much a second while nothing newer is known: a queue that gets
-/// nothing drains by one second a second. Lower: stays away for long. Higher: returns before the queue
-/// is gone.
-const WAIT_FADES: f64 = 1.0;
-/// A server that has answered nothing for this share of the shortest aim, with a set-up of that age
-/// out, is silent. Lower: slow servers look silent. Higher: more calls are lost into a dead one.
-const SILENT_FROM: f64 = 0.35;
-/// Servers that fall silent together are given this share of the shortest aim. Lower: healthy ones are
-/// shut for a hiccup of all, as when many gateways die. Higher: calls of one that is cut off are lost.
-const STALL: f64 = 0.75;
-/// Kept back, before the aim, for the second attempt of a call that is withdrawn from a silent server: a
-/// share of the shortest aim, but no less than the way there and back takes. Lower: it stands too late.
-/// Higher: slow servers look silent.
-const RESEND_SHARE: f64 = 0.125;
-const RESEND_LEAST: Span = Span::from_millis(100);
-/// An answer may be this share of the shortest aim out of turn by chance of the way, and no less than the
-/// least; more, and the earlier set-up is lost. Lower: calls are withdrawn for jitter. Higher: losses are
-/// seen late.
-const OUT_OF_TURN: f64 = 0.075;
-const OUT_OF_TURN_LEAST: Span = Span::from_millis(40);
-/// A held-up set-up is looked at again after this share of the shortest aim. Higher: a loss is seen when
-/// the aim can no longer be met. Lower: work.
-const REVIEW_SHARE: f64 = 0.125;
-const REVIEW_LEAST: Span = Span::from_millis(20);
-/// A silent or pressed server is tested with one ordinary call at a time, with this share of the calls that
-/// a server of its size usually gets from this gateway, and so from all, whatever their number. Higher: the
-/// tests alone press a server that is slow, not silent. Lower: its return is seen late.
-const TESTS_SHARE: f64 = 0.5;
-/// While servers of less than this share of the size answer, a warm one gets so many times its usual calls as
-/// diverted ones. Higher: all gateways jam the small ones before any sees a wait. Lower: calls are refused.
-const CALM_FROM: f64 = 0.9;
-const WARM_PUSH: f64 = 8.0;
-/// A cold server gets this many times its usual calls for its warmth: a trouble brings it more than its
-/// share, and the throttle sees the waits. Lower: it idles while calls are refused. Higher: it meets a
-/// flood at once.
+/// K of the adaptive throttling; the document has 1.5. Lower values refuse calls on noise. With 1.5 and 2 the
+/// equilibrium wait is longer, the reaction to waits steeper, and all controllers oscillate together.
+const THROTTLE_K: f64 = 1.3;
+/// Window of the counts. With 4 s and 10 s, refusals from a fault that is over cause new ones, the more so as
+/// refused callers redial; a much shorter window counts noise.
+const THROTTLE_WINDOW: Span = Span::from_millis(2_000);
+/// The window is extended, up to `LONG_WINDOW`, if it would hold fewer usual calls than this, or a single
+/// miss would shut off a healthy server. Higher values react slowly, lower ones to noise.
+const MIN_WINDOW_CALLS: f64 = 4.0;
+/// Waits up to this fraction of the shortest target set-up time are healthy. Lower values divert calls on
+/// chance queues, higher ones react late.
+const CONGESTED_FROM: f64 = 0.05;
+/// From this fraction of the shortest target on, accepts count for nothing: a call sent now would be
+/// established too late. Controllers without recent observations react earlier, as queues may have grown.
+const CONGESTED_TO: f64 = 0.55;
+/// The wait assumed after `Outcome::Full`, in shortest targets: longer than any call can use.
+const WAIT_WHEN_FULL: f64 = 1.5;
+/// `Outcome::Full` multiplies the call's draw by this, so that it does not try every server in turn. Lower
+/// values refuse calls that other servers would take.
+const DRAW_FACTOR_AFTER_FULL: f64 = 0.7;
+/// An observed wait is held for this many observation gaps (see `observation_gap`), then decays. With lower
+/// values each of many controllers forgets a congestion before its next call shows it; with higher ones all
+/// of them avoid a server long after it has recovered.
+const WAIT_HOLD_FACTOR: f64 = 6.0;
+/// Up to this many controllers there is no observation gap, however seldom each sends: one call is then much
+/// of what a queue can grow by unobserved. Higher values make mid-sized fleets forget congestion, lower ones
+/// make small fleets refuse calls on chance queues.
+const SMALL_FLEET: f64 = 10.0;
+/// Lower bound of the usual rate, in calls per second.
+const MIN_USUAL_RATE: f64 = 0.1;
+/// How much a held wait decays per second without newer observations: an idle queue drains one second per
+/// second. Lower values avoid the server for too long, higher ones return before the queue has drained.
+const WAIT_DECAY_PER_SECOND: f64 = 1.0;
+/// A server that answers nothing for this fraction of the shortest target, with a set-up outstanding as long,
+/// is silent. Lower values mistake slow servers for silent ones, higher lose more calls to dead ones.
+const SILENCE_TIMEOUT: f64 = 0.35;
+/// The same if most servers fall silent together. Lower values shut off healthy servers on a common hiccup,
+/// as when many controllers die; higher ones lose calls to a server that is cut off.
+const STALL_TIMEOUT: f64 = 0.75;
+/// Reserve for the second attempt of a call cancelled at a silent server: a fraction of the shortest target,
+/// at least the round trip. Lower values establish it too late, higher ones make slow servers look silent.
+const RESEND_RESERVE: f64 = 0.125;
+const MIN_RESEND_RESERVE: Span = Span::from_millis(100);
+/// Reordering of answers by network jitter, as a fraction of the shortest target; a set-up overtaken by more
+/// is lost. Lower values cancel calls for jitter, higher ones detect losses late.
+const REORDER_TOLERANCE: f64 = 0.075;
+const MIN_REORDER_TOLERANCE: Span = Span::from_millis(40);
+/// A delayed set-up is rechecked after this fraction of the shortest target. Higher values detect a loss when
+/// the target can no longer be met, lower ones cost work.
+const RECHECK_INTERVAL: f64 = 0.125;
+const MIN_RECHECK_INTERVAL: Span = Span::from_millis(20);
+/// A silent or congested server is tested with one ordinary call at a time, at this fraction of the calls
+/// that a server of its size usually gets from this controller (hence from all, however many). With higher
+/// values the tests alone congest a slow server, with lower ones its recovery is noticed late.
+const TEST_CALL_RATE: f64 = 0.5;
+/// While servers of less than this fraction of the total size respond, a warm one gets at most this many
+/// times its usual calls as diverted ones. With higher values all controllers congest the small servers
+/// before any sees a wait, with lower ones calls are refused.
+const ALL_RESPONSIVE: f64 = 0.9;
+const WARM_DIVERSION_FACTOR: f64 = 8.0;
+/// A cold server gets this many times its usual calls, scaled by warmth: in a fault it gets more than its
+/// share, and the throttle sees the waits. Lower values idle it while calls are refused, higher ones flood
+/// it.
 pub const COLD_RATE_FACTOR: f64 = 1.5;
-/// All that the gateways may send to a cold server within the time after which it falls over is at most
-/// this share of what makes it fall.
-const COLD_SAFE: f64 = 0.75;
-/// The right to send one call to a cold server lapses after this share of that time. Higher: unused
-/// rights of all gateways add up to a burst. Lower: rights lapse before a call comes for them.
+/// All controllers together send a cold server at most this fraction of the load that makes it fail.
+const COLD_SAFETY_FACTOR: f64 = 0.75;
+/// A permit for a cold server expires after this fraction of the overload time. With higher values unused
+/// permits of all controllers add up to a burst, with lower ones they expire before a call needs them.
 pub const COLD_PERMIT_LIFETIME: f64 = 0.5;
-/// The ramp leaves room for the worthier calls as if this share were cut, least worth first: a call of
-/// a class that such a cut would hit must find a right so much closer to its lapse. Higher: the least
-/// worth hardly gets through.
-const COLD_RESERVE: f64 = 0.5;
-/// Window of the counts of a number whose lines were all busy, and of the demand by class.
+/// The ramp of a cold server keeps room for calls of higher worth as if this fraction had to be refused,
+/// lowest worth first: a class that such a cut would hit needs correspondingly more permits in the bucket.
+/// With higher values calls of the lowest worth hardly get through.
+const COLD_PRIORITY_CUT: f64 = 0.5;
+/// Window of the counts of a busy number, and of the demand by rank.
 const LONG_WINDOW: Span = Span::from_millis(10_000);
-/// Numbers followed at once at most; memory only.
-const NUMBERS: usize = 1_024;
-/// The last moment for a final answer lies this many rounds before the caller gives up.
-const ANSWER_ROUNDS: u64 = 2;
-/// A caller who is refused is asked to come back this soon: a redial can then still stand within its aim.
-/// Longer waits turn redials into late calls, which take the place of those that could be in time.
-const COME_BACK: Span = Span::from_millis(100);
-/// Log lines of one kind are this far apart at least.
-const LOG_EVERY: Span = Span::from_millis(5_000);
-/// A subscription to the list that failed is asked for again after this long.
-const WATCH_AGAIN: Span = Span::from_millis(1_000);
-
-/// A set-up that is out at a server.
+/// Numbers tracked at most; bounds memory.
+const MAX_TRACKED_NUMBERS: usize = 1_024;
+/// The final answer is due this many ticks before the caller gives up.
+const FINAL_ANSWER_TICKS: u64 = 2;
+/// Retry-after time of refusals: a redial can then still be established within its target. Longer times turn
+/// redials into late calls, which displace calls that could be in time.
+const RETRY_AFTER: Span = Span::from_millis(100);
+/// Minimum interval between log lines of one kind.
+const LOG_INTERVAL: Span = Span::from_millis(5_000);
+/// Delay before a failed subscription to the server list is repeated.
+const RESUBSCRIBE_DELAY: Span = Span::from_millis(1_000);
+
+/// A set-up sent to a call server and not yet answered.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Out {
+struct OutstandingAttempt {
     call: CallId,
     attempt: Attempt,
     sent: Time,
 }
 
-/// What this gateway knows of a core server.
+/// What this controller knows about a call server.
 #[derive(Debug, Serialize, Deserialize)]
 struct Server {
     entry: ServerEntry,
     counts: Window,
-    out: Vec<Out>,
-    /// The wait last seen, and when.
+    #[serde(rename = "out")]
+    outstanding: Vec<OutstandingAttempt>,
+    /// The last observed wait, and when it was observed.
     wait: (Span, Time),
-    /// When the latest set-up that was answered was sent.
+    /// When the most recently sent of the answered set-ups was sent.
     answered: Time,
-    /// The last sign of life from its processor.
+    /// When its processor last gave a sign of life.
     heard: Time,
     silent: bool,
-    /// When a silent server may be tested next.
     test_at: Time,
-    /// The rights to send to it. While it is cold all calls need one, then only diverted ones.
-    rights: Option<TokenBucket>,
-    /// Its lines or circuits, as last told; they go with its size.
+    /// Permits to send to it. While it is cold every call needs one, later only diverted calls.
+    #[serde(rename = "rights")]
+    permits: Option<TokenBucket>,
+    /// Its lines or circuits as last reported; taken as its size.
     lines: Option<f64>,
-    /// By how much its answers may be out of turn.
-    out_of_turn: Span,
+    #[serde(rename = "out_of_turn")]
+    reorder_tolerance: Span,
 }
 
 impl Server {
-    fn new(entry: ServerEntry, now: Time, out_of_turn: Span) -> Self {
+    fn new(entry: ServerEntry, now: Time, reorder_tolerance: Span) -> Self {
         let nothing = Span::default();
         Self {
             entry,
-            counts: Window::new(WINDOW),
-            out: Vec::new(),
+            counts: Window::new(THROTTLE_WINDOW),
+            outstanding: Vec::new(),
             wait: (nothing, entry.started),
             answered: Time::default(),
             heard: now,
             silent: false,
             test_at: now,
-            rights: None,
+            permits: None,
             lines: None,
-            out_of_turn,
+            reorder_tolerance,
         }
     }
 
-    /// Age of the oldest set-up that may still be waiting its turn.
-    fn oldest_out(&self, now: Time) -> Span {
-        self.out.iter().filter(|o| !self.lost(o)).map(|o| now.since(o.sent)).max().unwrap_or_default()
+    /// Age of the oldest outstanding set-up that is not lost.
+    fn oldest_age(&self, now: Time) -> Span {
+        let waiting = self.outstanding.iter().filter(|o| !self.is_lost(o));
+        waiting.map(|o| now.since(o.sent)).max().unwrap_or_default()
     }
 
-    /// A processor has one line: a set-up sent clearly before one that was answered is lost. Guards
-    /// against links or processors that drop a share of the set-ups and look alive all the while.
-    fn lost(&self, out: &Out) -> bool {
-        self.answered.since(out.sent) > self.out_of_turn
+    /// A processor answers in order: a set-up sent clearly before one that was answered is lost. Guards
+    /// against links or processors that drop some of the set-ups and seem alive all the while.
+    fn is_lost(&self, attempt: &OutstandingAttempt) -> bool {
+        self.answered.since(attempt.sent) > self.reorder_tolerance
     }
 
-    /// The wait that a set-up sent now would meet: the last one seen, less what has drained since, or
-    /// the age of the oldest set-up still out if that is longer. Guards against a queue that grows
-    /// while its accepts still look healthy ('full' comes only when the wait is past every aim).
-    fn wait_now(&self, now: Time, hold: Span) -> Span {
+    /// The wait that a set-up sent now would meet: the last observed one, decayed after `hold`, or the age of
+    /// the oldest outstanding set-up if that is longer. Guards against a queue that grows while the accepts
+    /// still look healthy: `Outcome::Full` comes only when the wait exceeds every target.
+    fn estimated_wait(&self, now: Time, hold: Span) -> Span {
         let (wait, at) = self.wait;
-        let faded = wait.saturating_sub(now.since(at).saturating_sub(hold).scale(WAIT_FADES));
-        faded.max(self.oldest_out(now))
+        let decayed = wait.saturating_sub(now.since(at).saturating_sub(hold).scale(WAIT_DECAY_PER_SECOND));
+        decayed.max(self.oldest_age(now))
     }
 
-    /// Whether it has given no sign of life for `patience`, although a set-up was out all the while
-    /// that should have been answered by the wait last seen. A server that is merely slow still answers
-    /// in its turn.
-    fn unanswered(&self, patience: Span, now: Time) -> bool {
-        now.since(self.heard) > patience && self.oldest_out(now).saturating_sub(self.wait.0) > patience
+    /// Whether it gave no sign of life for `timeout`, although for as long a set-up has been overdue by the
+    /// last observed wait. A server that is merely slow still answers in order.
+    fn is_unresponsive(&self, timeout: Span, now: Time) -> bool {
+        now.since(self.heard) > timeout && self.oldest_age(now).saturating_sub(self.wait.0) > timeout
     }
 }
 
-/// Where a call is.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 enum Stage {
-    /// An attempt is out.
+    /// An attempt is outstanding.
     Out { server: ServerId, attempt: Attempt, sent: Time },
-    /// It waits until what its last attempt held has been released.
+    /// It waits until the call server has released the resources of its last attempt.
     Releasing,
 }
 
-/// A call that is owed its final answer.
+/// A call that has not got its final answer.
 #[derive(Debug, Serialize, Deserialize)]
 struct Call {
     new: NewCall,
-    /// What it is worth against the others, and whether it is within its tenant's share.
+    /// Its worth relative to other calls, and whether it is within its tenant's share.
     rank: f64,
     within: bool,
     came: Time,
     stage: Stage,
     attempts: u32,
     tried: Vec<ServerId>,
-    /// The draw of this call, 0 to 1: one for all servers, or the chances of passing somewhere would
-    /// add up.
+    /// Random number from 0 to 1; one for all servers, or the chances to pass somewhere would add up.
     draw: f64,
-    /// Where and when an attempt first may have run.
+    /// Where and when an attempt was sent that may have been executed; the first one.
     may_have_run: Option<(ServerId, Time)>,
-    /// Servers that answered with an error, or whose answer was lost on its way, in order.
+    /// Servers that answered with an error or whose connection broke, in order.
     erred: Vec<ServerId>,
 }
 
-/// What a timer is for.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-enum Wake {
+enum TimerPurpose {
     LastAnswer(CallId),
     Review(CallId, Attempt),
     Released(CallId),
-    Watch,
+    #[serde(rename = "Watch")]
+    Resubscribe,
 }
 
-/// The decisions of one gateway.
+/// The decision module of one controller.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Controller {
     #[serde(skip)]
     settings: Settings,
     rng: Pcg32,
     now: Time,
-    shortest_aim: Span,
+    #[serde(rename = "shortest_aim")]
+    shortest_target: Span,
     servers: BTreeMap<ServerId, Server>,
     calls: BTreeMap<CallId, Call>,
-    timers: Timers<Wake>,
+    timers: Timers<TimerPurpose>,
     /// The server that last took a diverted call.
-    kept: Option<ServerId>,
-    /// Numbers whose lines were all busy.
+    #[serde(rename = "kept")]
+    last_taker: Option<ServerId>,
+    /// Dialled numbers whose lines were all busy.
     numbers: BTreeMap<Number, Window>,
-    /// Calls by rank of worth, to know what share a cut in the lowest would be.
+    /// Calls by worth, to calculate which ranks a given cut affects.
     demand: DemandByRank,
-    /// Calls a second that a server of mean size takes from this gateway in usual times.
+    /// The usual rate at which a server of mean size accepts calls from this controller.
     usual: UsualRate,
-    /// What of the calls that are taken each tenant may have.
     shares: TenantShares,
-    /// What others are to be asked for.
+    /// Permit requests to append to the actions of the current event.
     #[serde(skip)]
-    lacked: Vec<Action>,
+    permit_requests: Vec<Action>,
     #[serde(skip)]
-    logged: LogLimiter,
+    log_limiter: LogLimiter,
 }
 
 impl Controller {
-    /// A controller that knows nothing but its settings. The same seed and events give the same actions.
+    /// A controller without observations. The same seed and events give the same actions.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let shortest_aim = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
+        let shortest_target = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
         let shares = TenantShares::new(&settings.tenant_shares);
         Self {
             settings,
             rng: Pcg32::seed_from_u64(seed),
             now: Time::default(),
-            shortest_aim,
+            shortest_target,
             servers: BTreeMap::new(),
             calls: BTreeMap::new(),
             timers: Timers::default(),
-            kept: None,
+            last_taker: None,
             numbers: BTreeMap::new(),
             demand: DemandByRank::new(LONG_WINDOW),
             usual: UsualRate::new(LONG_WINDOW),
             shares,
-            lacked: Vec::new(),
-            logged: LogLimiter::default(),
+            permit_requests: Vec::new(),
+            log_limiter: LogLimiter::default(),
         }
     }
 
-    /// From now on decides by these settings; what was seen so far stays. The classes keep their places.
+    /// Applies new settings and keeps the state. The classes must keep their indices.
     pub fn reconfigure(&mut self, settings: Settings) {
-        self.shortest_aim = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
+        self.shortest_target = settings.classes.iter().map(|c| c.setup_target).min().unwrap_or_default();
         self.shares.update(&settings.tenant_shares);
         self.settings = settings;
     }
 
-    /// Takes one event and appends what is to be done, in order. A clock that steps back stands still.
+    /// Processes an event and appends the actions in order. A clock that steps back counts as stopped.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.usual.start(self.now) && self.settings.list_needs_subscription {
@@ -299,38 +296,40 @@
         match event {
             Event::List { kind, entries } => self.on_list(kind, entries, actions),
             Event::Call(call) => self.on_call(call, actions),
-            Event::Established { call, attempt, server, took } => self.on_stands(call, attempt, server, took),
+            Event::Established { call, attempt, server, took } => {
+                self.on_success(call, attempt, server, took)
+            }
             Event::Ended(end) => self.on_ended(end, actions),
             Event::HungUp(call) => self.on_hung_up(call, actions),
             Event::Timer(token) => self.on_timer(token, actions),
             Event::Load { server, outcome: _, load } => self.read_load(server, &load),
-            Event::Observation { server, wait, silent, at } => self.heard_of(server, wait, silent, at),
+            Event::Observation { server, wait, silent, at } => self.on_observation(server, wait, silent, at),
             Event::PermitsRequested { from, server, permits } => self.lend(from, server, permits, actions),
             Event::PermitsReceived { server, permits } => {
-                if let Some(purse) = self.servers.get_mut(&server).and_then(|s| s.rights.as_mut()) {
-                    purse.borrow(permits);
+                if let Some(bucket) = self.servers.get_mut(&server).and_then(|s| s.permits.as_mut()) {
+                    bucket.borrow(permits);
                 }
             }
-            Event::PeerMessage { from: _, data: _ } => {} // what peers see comes as `Observation`
+            Event::PeerMessage { from: _, data: _ } => {} // peers' observations come as `Event::Observation`
         }
-        actions.append(&mut self.lacked);
+        actions.append(&mut self.permit_requests);
     }
 
-    /// How many of the listed servers are avoided at `now`: they drain, have no line, or answer nothing.
+    /// Number of listed servers that get no calls at `now`: they drain, have no lines, or are silent.
     pub fn unavailable_servers(&self, now: Time) -> usize {
-        let patience = self.patience();
-        let shunned = |s: &&Server| {
-            let off = s.entry.state == ServerState::Draining || s.lines == Some(0.0);
-            s.entry.state != ServerState::Gone && (off || s.silent || s.unanswered(patience, now))
+        let timeout = self.silence_timeout();
+        let unavailable = |s: &&Server| {
+            let closed = s.entry.state == ServerState::Draining || s.lines == Some(0.0);
+            s.entry.state != ServerState::Gone && (closed || s.silent || s.is_unresponsive(timeout, now))
         };
-        self.servers.values().filter(shunned).count()
+        self.servers.values().filter(unavailable).count()
     }
 
-    // ---- The list ------------------------------------------------------------------------
+    // ---- Server list ------------------------------------------------------------------------
 
     fn on_list(&mut self, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
         match kind {
-            ListKind::Failed => return self.wake_in(WATCH_AGAIN, Wake::Watch, actions),
+            ListKind::Failed => return self.set_timer(RESUBSCRIBE_DELAY, TimerPurpose::Resubscribe, actions),
             ListKind::Full | ListKind::Cached => {
                 for known in self.servers.values_mut() {
                     if !entries.iter().any(|e| e.server == known.entry.server) {
@@ -340,24 +339,24 @@
             }
             ListKind::Delta => {}
         }
-        let turn = self.shortest_aim.scale(OUT_OF_TURN).max(OUT_OF_TURN_LEAST);
+        let tolerance = self.shortest_target.scale(REORDER_TOLERANCE).max(MIN_REORDER_TOLERANCE);
         for entry in entries {
             match self.servers.get_mut(&entry.server) {
-                // A new start makes old knowledge void; its set-ups still out keep their place.
+                // A restart voids all observations; outstanding set-ups stay.
                 Some(known) if known.entry.started != entry.started => {
-                    let out = std::mem::take(&mut known.out);
-                    *known = Server { out, ..Server::new(entry, self.now, turn) };
+                    let outstanding = std::mem::take(&mut known.outstanding);
+                    *known = Server { outstanding, ..Server::new(entry, self.now, tolerance) };
                 }
                 Some(known) => known.entry = entry,
                 None => {
-                    self.servers.insert(entry.server, Server::new(entry, self.now, turn));
+                    self.servers.insert(entry.server, Server::new(entry, self.now, tolerance));
                 }
             }
         }
-        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.out.is_empty());
+        self.servers.retain(|_, s| s.entry.state != ServerState::Gone || !s.outstanding.is_empty());
     }
 
-    // ---- A call comes in -----------------------------------------------------------------
+    // ---- Incoming calls -----------------------------------------------------------------
 
     fn on_call(&mut self, new: NewCall, actions: &mut Vec<Action>) {
         if self.calls.contains_key(&new.call) {
@@ -379,52 +378,49 @@
             may_have_run: None,
             erred: Vec::new(),
         };
-        if self.time_left(&call) == Span::default() || !self.number_passes(new.number) {
-            return self.turn_away(&call, actions);
+        if self.time_left(&call) == Span::default() || !self.number_allows(new.number) {
+            return self.refuse_or_fail(&call, actions);
         }
-        match self.place(&call, true) {
+        match self.choose_server(&call, true) {
             Some(server) => {
-                let last = self.time_left(&call);
-                self.wake_in(last, Wake::LastAnswer(new.call), actions);
+                let time_left = self.time_left(&call);
+                self.set_timer(time_left, TimerPurpose::LastAnswer(new.call), actions);
                 self.send(call, server, actions);
             }
-            None => self.turn_away(&call, actions),
+            None => self.refuse_or_fail(&call, actions),
         }
     }
 
-    /// Time until the last moment for a final answer.
+    /// Time until the final answer is due.
     fn time_left(&self, call: &Call) -> Span {
-        call.new
-            .valid_until
-            .since(self.now)
-            .saturating_sub(Span(self.settings.tick.0.saturating_mul(ANSWER_ROUNDS)))
+        let margin = Span(self.settings.tick.0.saturating_mul(FINAL_ANSWER_TICKS));
+        call.new.valid_until.since(self.now).saturating_sub(margin)
     }
 
-    /// Where the call goes: its first choice unless the draw turns it away there, then the server that
-    /// last took a diverted call, then any other, in a drawn order; `None` if none passes.
-    fn place(&mut self, call: &Call, first_try: bool) -> Option<ServerId> {
+    /// Chooses a server: the first choice unless the throttle refuses it, then the server that last took a
+    /// diverted call, then any other in random order; `None` if no server passes the call.
+    fn choose_server(&mut self, call: &Call, first_try: bool) -> Option<ServerId> {
         let mut order = self.candidates(call);
         let first = order.iter().position(|&s| self.is_first_choice(s, call)).map(|at| order.remove(at));
-        if let Some(server) = first.filter(|&server| self.passes(server, call)) {
+        if let Some(server) = first.filter(|&server| self.may_send(server, call)) {
             return Some(server);
         }
         for at in (1..order.len()).rev() {
             let other = (self.rng.next_u32() as usize) % (at + 1);
             order.swap(at, other);
         }
-        order.sort_by_key(|&s| self.kept != Some(s)); // stable: the kept one first, the rest as drawn
-        let taker = order.into_iter().find(|&server| self.passes(server, call));
+        order.sort_by_key(|&s| self.last_taker != Some(s)); // stable: the rest stays shuffled
+        let taker = order.into_iter().find(|&server| self.may_send(server, call));
         if let (None, true, Some(server)) = (taker, first_try, first) {
-            // Refused here: a request there all the same, unless the ramp of a cold server kept it
-            // away. A diverted call is none: what the others take must not shut this one.
-            if self.draw_refuses(server, call) {
+            // A refused call counts as a request at its first choice, unless the ramp of a cold server kept
+            // it away. A diverted call does not count: calls taken by others must not shut this server off.
+            if self.throttle_refuses(server, call) {
                 self.count(server, 1, 0);
             }
         }
         taker
     }
 
-    /// Servers that may take the call at all.
     fn candidates(&self, call: &Call) -> Vec<ServerId> {
         let class = self.settings.classes.get(call.new.class);
         let allowed = |s: &Server| {
@@ -440,7 +436,7 @@
         self.servers.values().filter(|s| allowed(s)).map(|s| s.entry.server).collect()
     }
 
-    /// Guards against a call that is carried out twice where its class does not bear that.
+    /// Whether another attempt at this server cannot execute the call twice where its class forbids that.
     fn repeat_is_safe(&self, call: &Call, class: Option<&ClassSettings>, server: &Server) -> bool {
         let (Some((ran_at, since)), Some(class)) = (call.may_have_run, class) else { return true };
         let same = |pick: fn(&ServerEntry) -> u16| {
@@ -464,38 +460,37 @@
         self.servers.get(&server).is_some_and(|s| Some(s.entry.cell) == call.new.first_choice)
     }
 
-    /// Whether this server is not the one that the call asks for.
     fn is_diverted(&self, server: ServerId, call: &Call) -> bool {
         call.new.first_choice.is_some() && !self.is_first_choice(server, call)
     }
 
-    /// Whether the call may be sent to this server now.
-    fn passes(&mut self, id: ServerId, call: &Call) -> bool {
-        let (refused, diverted) = (self.draw_refuses(id, call), self.is_diverted(id, call));
-        let spare = self.cut_of(COLD_RESERVE, call.rank);
+    fn may_send(&mut self, id: ServerId, call: &Call) -> bool {
+        let (refused, diverted) = (self.throttle_refuses(id, call), self.is_diverted(id, call));
+        let priority_cut = self.refused_share_at(COLD_PRIORITY_CUT, call.rank);
         let Some(server) = self.servers.get(&id) else { return false };
-        let open = !diverted && self.unwatched() > 0.0 && !self.is_cold(server);
-        let stalls = server.out.iter().map(|o| self.now.since(o.sent)).max();
-        if open && stalls.is_some_and(|age| age < self.shortest_aim.scale(STALL)) && !self.speak(0.5) {
+        let open = !diverted && self.fleet_factor() > 0.0 && !self.is_cold(server);
+        let stalled = server.outstanding.iter().map(|o| self.now.since(o.sent)).max();
+        let stall_timeout = self.shortest_target.scale(STALL_TIMEOUT);
+        if open && stalled.is_some_and(|age| age < stall_timeout) && !self.responsive_exceed(0.5) {
             return true;
         }
         if server.silent || refused && open {
-            // Looks: many would hold a wait against it long after it has passed.
-            return server.out.is_empty() && self.now >= server.test_at;
+            // Test calls only; without them many controllers would hold on to a wait long after it has
+            // passed.
+            return server.outstanding.is_empty() && self.now >= server.test_at;
         }
-        !refused && self.rights_allow(id, spare, diverted)
+        !refused && self.permits_allow(id, priority_cut, diverted)
     }
 
-    /// Whether the throttle keeps the call away from this server.
-    fn draw_refuses(&mut self, id: ServerId, call: &Call) -> bool {
-        let cut = self.cut(id);
-        let cut = self.cut_of(cut, call.rank);
-        call.draw < self.shares.refused_fraction(cut, call.within)
+    fn throttle_refuses(&mut self, id: ServerId, call: &Call) -> bool {
+        let total = self.refused_share(id);
+        let at_rank = self.refused_share_at(total, call.rank);
+        call.draw < self.shares.refused_fraction(at_rank, call.within)
     }
 
-    /// When this gateway may next test a silent server; drawn, so that the gateways do not test together.
+    /// Time of the next test call; randomised, so that controllers do not test a server at the same time.
     fn next_test(&mut self, id: ServerId) -> Time {
-        let gap = Span::from_secs(1.0 / (self.usual_rate() * self.size(id) * TESTS_SHARE));
+        let gap = Span::from_secs(1.0 / (self.usual_rate() * self.size(id) * TEST_CALL_RATE));
         self.now.plus(gap.scale(0.5 + self.rng.uniform()))
     }
 
@@ -507,42 +502,41 @@
         }
     }
 
-    // ---- The throttle --------------------------------------------------------------------
+    // ---- Throttle --------------------------------------------------------------------
 
-    /// The share of calls to be kept away from a server: C4-183506, with accepts weighed by the present
-    /// wait. Set-ups still out count as requests only once they are late, since few are counted and
-    /// each would weigh.
-    fn cut(&mut self, id: ServerId) -> f64 {
+    /// The share of calls to keep away from a server: C4-183506 with accepts weighted by the current wait.
+    /// Outstanding set-ups count as requests only once they are late: at low counts each weighs much.
+    fn refused_share(&mut self, id: ServerId) -> f64 {
         let now = self.now;
-        let silent_from = self.patience();
-        let span = Span::from_secs(WINDOW_CALLS / self.usual_rate()).max(WINDOW).min(LONG_WINDOW);
-        let (blind, aim) = (self.blind(), self.shortest_aim);
-        let hold = aim.scale(blind * HOLD);
-        let (from, to) = (aim.scale(PRESSED_FROM), aim.scale(PRESSED_TO / (1.0 + blind)));
+        let timeout = self.silence_timeout();
+        let span = Span::from_secs(MIN_WINDOW_CALLS / self.usual_rate()).clamp(THROTTLE_WINDOW, LONG_WINDOW);
+        let (gap, target) = (self.observation_gap(), self.shortest_target);
+        let hold = target.scale(gap * WAIT_HOLD_FACTOR);
+        let (from, to) = (target.scale(CONGESTED_FROM), target.scale(CONGESTED_TO / (1.0 + gap)));
         let Some(server) = self.servers.get_mut(&id) else { return 1.0 };
-        if !server.silent && server.unanswered(silent_from, now) {
+        if !server.silent && server.is_unresponsive(timeout, now) {
             self.mark_silent(id);
         }
         let Some(server) = self.servers.get_mut(&id) else { return 1.0 };
         server.counts.set_span(span);
         let (requests, accepts) = server.counts.counts(now);
-        let late = server.out.iter().filter(|o| now.since(o.sent) > from).count();
-        let worth = 1.0 - server.wait_now(now, hold).fraction_between(from, to);
+        let late = server.outstanding.iter().filter(|o| now.since(o.sent) > from).count();
+        let weight = 1.0 - server.estimated_wait(now, hold).fraction_between(from, to);
         let counted = refusal_probability(f64::from(requests) + late as f64, f64::from(accepts));
-        // What the formula tends to with accepts weighed so: the wait speaks even where few are counted.
-        counted.max(1.0 - CUTOFF * worth)
+        // The limit of the formula with weighted accepts: the wait has an effect even at low counts.
+        counted.max(1.0 - THROTTLE_K * weight)
     }
 
-    /// The share of the calls of this worth to cut, when `cut` of all must go: the least worth first.
-    fn cut_of(&mut self, cut: f64, worth: f64) -> f64 {
+    /// The share to refuse of the calls of this worth if `total` of all are refused, lowest worth first.
+    fn refused_share_at(&mut self, total: f64, worth: f64) -> f64 {
         let (below, same, all) = self.demand.counts_around(self.now, worth);
         if same <= 0.0 {
-            return cut;
+            return total;
         }
-        ((cut * all - below) / same).clamp(0.0, 1.0)
+        ((total * all - below) / same).clamp(0.0, 1.0)
     }
 
-    /// The worth that a call can still earn. One who dials again has mostly used the aim up by then.
+    /// The worth that a call can still earn. A caller who redials has usually used up the target time.
     fn worth_now(&self, call: &NewCall) -> f64 {
         let Some(class) = self.settings.classes.get(call.class) else { return 0.0 };
         let worth = if call.redialled { class.worth * class.late_worth } else { class.worth };
@@ -553,16 +547,16 @@
         }
     }
 
-    /// By how much more than the patience this gateway's own calls to a server are apart, in shortest
-    /// aims: for so long it knows nothing new of that server.
-    fn blind(&mut self) -> f64 {
-        let aim = self.shortest_aim.secs().max(f64::MIN_POSITIVE);
-        (1.0 / self.usual_rate() / aim - SILENT_FROM).max(0.0) * self.unwatched()
+    /// The time between this controller's calls to one server beyond the silence timeout, in shortest
+    /// targets: for so long it has no new observation of that server. Scaled down to 0 in small fleets.
+    fn observation_gap(&mut self) -> f64 {
+        let target = self.shortest_target.secs().max(f64::MIN_POSITIVE);
+        (1.0 / self.usual_rate() / target - SILENCE_TIMEOUT).max(0.0) * self.fleet_factor()
     }
 
-    /// The share of the gateways beyond those that need no care for what the others do unseen.
-    fn unwatched(&self) -> f64 {
-        1.0 - (WATCHED_BY / f64::from(self.settings.controllers.max(1))).min(1.0)
+    /// The share of the fleet beyond `SMALL_FLEET` controllers: 0 in small fleets, near 1 in large ones.
+    fn fleet_factor(&self) -> f64 {
+        1.0 - (SMALL_FLEET / f64::from(self.settings.controllers.max(1))).min(1.0)
     }
 
     fn count(&mut self, id: ServerId, requests: u32, accepts: u32) {
@@ -572,10 +566,9 @@
         }
     }
 
-    /// The same throttle per number dialled: 'all lines busy' blames the number, not the server. Guards
-    /// against one number's callers filling the processors; a number is followed only after its lines
-    /// were busy.
-    fn number_passes(&mut self, number: Number) -> bool {
+    /// The same throttle per dialled number: busy lines are its fault, not the server's. Guards against one
+    /// number's callers filling the processors. A number is tracked only after its lines were busy.
+    fn number_allows(&mut self, number: Number) -> bool {
         let now = self.now;
         let Some(window) = self.numbers.get_mut(&number) else { return true };
         let (requests, accepts) = window.counts(now);
@@ -588,84 +581,87 @@
         self.rng.uniform() >= refuse
     }
 
-    // ---- Rights --------------------------------------------------------------------------
+    // ---- Permits --------------------------------------------------------------------------
 
     fn is_cold(&self, server: &Server) -> bool {
         let started = server.entry.started;
         started != Time::default() && self.now.since(started) < self.settings.warm_up
     }
 
-    /// A server fresh from a start gets this gateway's share of what it can do, as rights
-    /// (`fleet::token_bucket`) that come at exponential gaps. Guards against all gateways falling back on it
-    /// together: its window is empty, so the throttle alone would stand open. A warm one gets diverted calls
-    /// by such rights too, or all gateways fill the few that seem well before any sees that they are full.
-    fn rights_allow(&mut self, id: ServerId, spare: f64, diverted: bool) -> bool {
-        let first = -self.rng.exponential();
+    /// A cold server gets this controller's share of its capacity as permits (`fleet::token_bucket`), spent
+    /// at exponentially distributed gaps. Guards against all controllers returning to it together: its window
+    /// is empty, so the throttle would pass everything. Diverted calls to a warm server need permits too, or
+    /// all controllers fill the few servers that seem healthy before any sees that they are full.
+    fn permits_allow(&mut self, id: ServerId, priority_cut: f64, diverted: bool) -> bool {
+        let initial = -self.rng.exponential();
         let is_cold = self.servers.get(&id).is_some_and(|s| self.is_cold(s));
-        if !is_cold && (!diverted || self.unwatched() == 0.0 || self.speak(CALM_FROM)) {
+        if !is_cold && (!diverted || self.fleet_factor() == 0.0 || self.responsive_exceed(ALL_RESPONSIVE)) {
             return true;
         }
-        let Some((purse, rate, lapse)) = self.rights_come(id, first) else { return false };
-        let short = if is_cold { lapse * spare } else { 0.0 } - purse.available();
-        if is_cold && short > 0.0 {
-            self.lacked.push(Action::RequestPermits { server: id, permits: Permits::from_calls(short) });
+        let Some((bucket, rate, capacity)) = self.refill_permits(id, initial) else { return false };
+        let missing = if is_cold { capacity * priority_cut } else { 0.0 } - bucket.available();
+        if is_cold && missing > 0.0 {
+            let permits = Permits::from_calls(missing);
+            self.permit_requests.push(Action::RequestPermits { server: id, permits });
         }
-        rate > 0.0 && short <= 0.0
+        rate > 0.0 && missing <= 0.0
     }
 
-    /// The rights to a server as they stand, how many come a second, and how many are kept at most.
-    fn rights_come(&mut self, id: ServerId, first: f64) -> Option<(TokenBucket, f64, f64)> {
+    /// Refills the bucket of a server; returns it with its refill rate per second and its capacity.
+    fn refill_permits(&mut self, id: ServerId, initial: f64) -> Option<(TokenBucket, f64, f64)> {
         let now = self.now;
-        let Settings { warm_up, cold_share, overload_factor: multiple, .. } = self.settings;
-        let share = cold_share.clamp(0.0, 1.0);
-        let safe = COLD_SAFE * if multiple > 0.0 { multiple } else { 1.0 } / (1.0 + COLD_PERMIT_LIFETIME);
+        let Settings { warm_up, cold_share, overload_factor: factor, .. } = self.settings;
+        let at_start = cold_share.clamp(0.0, 1.0);
+        let safe =
+            COLD_SAFETY_FACTOR * if factor > 0.0 { factor } else { 1.0 } / (1.0 + COLD_PERMIT_LIFETIME);
         let usual = self.usual_rate() * self.size(id);
         let is_cold = self.servers.get(&id).is_some_and(|s| self.is_cold(s));
-        let warm_push = WARM_PUSH / self.unwatched();
+        let warm_factor = WARM_DIVERSION_FACTOR / self.fleet_factor();
         let server = self.servers.get_mut(&id)?;
         let rate = if is_cold {
             let warmth = now.since(server.entry.started).secs() / warm_up.secs();
-            usual * (share + (1.0 - share) * warmth) * COLD_RATE_FACTOR.min(safe)
+            usual * (at_start + (1.0 - at_start) * warmth) * COLD_RATE_FACTOR.min(safe)
         } else {
-            usual * warm_push
+            usual * warm_factor
         };
-        let lapse = rate * COLD_PERMIT_LIFETIME * self.settings.overload_time.max(self.shortest_aim).secs();
-        let purse = server.rights.get_or_insert(TokenBucket::new(first, now));
-        purse.refill(now, rate, lapse, || self.rng.exponential());
-        Some((*purse, rate, lapse))
+        let overload_time = self.settings.overload_time.max(self.shortest_target);
+        let capacity = rate * COLD_PERMIT_LIFETIME * overload_time.secs();
+        let bucket = server.permits.get_or_insert(TokenBucket::new(initial, now));
+        bucket.refill(now, rate, capacity, || self.rng.exponential());
+        Some((*bucket, rate, capacity))
     }
 
-    /// Another gateway lacks rights to a cold server: it gets what is not needed here.
+    /// Lends permits for a cold server that are not needed here to another controller.
     fn lend(&mut self, to: u16, id: ServerId, wanted: Permits, actions: &mut Vec<Action>) {
         if self.servers.get(&id).is_some_and(|s| self.is_cold(s)) {
-            let first = -self.rng.exponential();
-            self.rights_come(id, first);
-            let purse = self.servers.get_mut(&id).and_then(|s| s.rights.as_mut());
-            actions.extend(purse.map(|p| Action::LendPermits { to, server: id, permits: p.lend(wanted) }));
+            let initial = -self.rng.exponential();
+            self.refill_permits(id, initial);
+            let bucket = self.servers.get_mut(&id).and_then(|s| s.permits.as_mut());
+            actions.extend(bucket.map(|p| Action::LendPermits { to, server: id, permits: p.lend(wanted) }));
         }
     }
 
-    /// The rights held to send to a cold server, in calls; `None`: it needs none.
+    /// Permits available for a cold server, in calls; `None`: it needs none.
     pub fn permits(&self, id: ServerId) -> Option<f64> {
-        self.servers.get(&id).filter(|s| self.is_cold(s))?.rights.map(|purse| purse.available())
+        self.servers.get(&id).filter(|s| self.is_cold(s))?.permits.map(|bucket| bucket.available())
     }
 
-    /// A call was sent: a right, or a test of a silent server, is used up.
-    fn spend_right(&mut self, id: ServerId, diverted: bool) {
+    /// Consumes a permit for a sent call and schedules the next test call.
+    fn record_send(&mut self, id: ServerId, diverted: bool) {
         let (gap, test_at) = (self.rng.exponential(), self.next_test(id));
-        let spent = diverted || self.servers.get(&id).is_some_and(|s| self.is_cold(s));
+        let needs_permit = diverted || self.servers.get(&id).is_some_and(|s| self.is_cold(s));
         let Some(server) = self.servers.get_mut(&id) else { return };
         server.test_at = test_at;
-        if let Some(purse) = server.rights.as_mut().filter(|_| spent) {
-            purse.consume(gap);
+        if let Some(bucket) = server.permits.as_mut().filter(|_| needs_permit) {
+            bucket.consume(gap);
         }
     }
 
-    /// What is usual here; from what comes in while nothing has stood yet, as after a restart.
+    /// The usual rate of accepts per server; estimated from incoming calls before any is established.
     fn usual_rate(&mut self) -> f64 {
-        let came = self.demand.counts_around(self.now, 0.0).2;
+        let arrivals = self.demand.counts_around(self.now, 0.0).2;
         let size = if self.usual.is_known() { 0.0 } else { self.ready_size() };
-        self.usual.rate(self.now, came, size).max(RATE_LEAST)
+        self.usual.rate(self.now, arrivals, size).max(MIN_USUAL_RATE)
     }
 
     fn ready_size(&self) -> f64 {
@@ -673,11 +669,11 @@
         self.servers.values().filter(ready).map(|s| self.size_of(s)).sum()
     }
 
-    /// A server's size against the others': its lines, which were laid out for the calls it was planned
-    /// to carry; the mean of the others where it is not told.
+    /// A server's size relative to the mean: by its lines, which were provisioned for its planned calls. A
+    /// server that reports no lines counts as of mean size.
     fn size_of(&self, server: &Server) -> f64 {
-        let told: Vec<f64> = self.servers.values().filter_map(|s| s.lines).filter(|&l| l > 0.0).collect();
-        let mean = if told.is_empty() { 1.0 } else { told.iter().sum::<f64>() / told.len() as f64 };
+        let known: Vec<f64> = self.servers.values().filter_map(|s| s.lines).filter(|&l| l > 0.0).collect();
+        let mean = if known.is_empty() { 1.0 } else { known.iter().sum::<f64>() / known.len() as f64 };
         server.lines.filter(|&l| l > 0.0).unwrap_or(mean) / mean
     }
 
@@ -688,115 +684,109 @@
     // ---- Attempts ------------------------------------------------------------------------
 
     fn send(&mut self, mut call: Call, id: ServerId, actions: &mut Vec<Action>) {
-        let (now, name) = (self.now, call.new.call);
+        let (now, call_id) = (self.now, call.new.call);
         let attempt = Attempt(call.attempts as u16);
         call.attempts += 1;
         call.stage = Stage::Out { server: id, attempt, sent: now };
-        let review = self.review_after(&call);
+        let review = self.first_review_after(&call);
         if let Some(server) = self.servers.get_mut(&id) {
-            server.out.push(Out { call: name, attempt, sent: now });
+            server.outstanding.push(OutstandingAttempt { call: call_id, attempt, sent: now });
         }
-        self.spend_right(id, self.is_diverted(id, &call));
-        // Without the right to cancel, the time-out itself must leave room for a second attempt.
+        self.record_send(id, self.is_diverted(id, &call));
+        // If attempts cannot be cancelled, the attempt timeout itself must leave time for a second attempt.
         let timeout = if self.settings.may_cancel { None } else { Some(review) };
-        actions.push(Action::Send { call: name, server: id, timeout });
-        self.calls.insert(name, call);
+        actions.push(Action::Send { call: call_id, server: id, timeout });
+        self.calls.insert(call_id, call);
         if self.settings.may_cancel {
-            self.wake_in(review, Wake::Review(name, attempt), actions);
+            self.set_timer(review, TimerPurpose::Review(call_id, attempt), actions);
         }
     }
 
-    /// How long an attempt stays out before it is looked at: the latest that still leaves room, within
-    /// the aim, for the release and another attempt.
-    fn review_after(&self, call: &Call) -> Span {
-        let aim = self.settings.classes.get(call.new.class).map(|c| c.setup_target).unwrap_or_default();
-        let room = aim
-            .saturating_sub(self.now.since(call.came))
-            .saturating_sub(self.settings.resend_delay)
-            .saturating_sub(self.reserve());
-        room.max(self.review_every())
+    /// Time to the first review: the latest that leaves room, within the target, for a resend.
+    fn first_review_after(&self, call: &Call) -> Span {
+        let target = self.settings.classes.get(call.new.class).map(|c| c.setup_target).unwrap_or_default();
+        let left = target.saturating_sub(self.now.since(call.came));
+        let room = left.saturating_sub(self.settings.resend_delay).saturating_sub(self.resend_reserve());
+        room.max(self.recheck_interval())
     }
 
-    /// For how long a server may leave a set-up unanswered before it is silent. Where servers report nothing
-    /// of their processors a queue looks the same, so it is the latest from which a withdrawn call can still
-    /// stand in its aim elsewhere.
-    fn patience(&self) -> Span {
-        let tells = |f: &LoadField| !matches!(f, LoadField::Idle | LoadField::Circuits | LoadField::Unknown);
-        let least = self.shortest_aim.scale(SILENT_FROM);
-        if self.settings.load_fields.iter().any(tells) {
-            return least;
+    /// How long a server may leave a set-up unanswered before it counts as silent. If servers do not report
+    /// on their processors, a queue looks the same as silence; the timeout is then the longest after which a
+    /// cancelled call can still be established elsewhere within its target, less a healthy wait.
+    fn silence_timeout(&self) -> Span {
+        let other = |f: &LoadField| !matches!(f, LoadField::Idle | LoadField::Circuits | LoadField::Unknown);
+        let shortest = self.shortest_target.scale(SILENCE_TIMEOUT);
+        if self.settings.load_fields.iter().any(other) {
+            return shortest;
         }
-        let reviewed =
-            self.shortest_aim.saturating_sub(self.settings.resend_delay).saturating_sub(self.reserve());
-        least.max(reviewed.saturating_sub(self.shortest_aim.scale(PRESSED_FROM)))
-        // known then, behind a healthy wait
+        let left = self.shortest_target.saturating_sub(self.settings.resend_delay);
+        let reviewed = left.saturating_sub(self.resend_reserve());
+        shortest.max(reviewed.saturating_sub(self.shortest_target.scale(CONGESTED_FROM)))
     }
 
-    /// Whether the servers that answer make up more than this share of the size of all.
-    fn speak(&self, share: f64) -> bool {
-        let patience = self.patience();
-        let speaks = |s: &&Server| !s.silent && !s.unanswered(patience, self.now);
+    /// Whether the responsive servers make up more than this share of the total size.
+    fn responsive_exceed(&self, share: f64) -> bool {
+        let timeout = self.silence_timeout();
+        let responsive = |s: &&Server| !s.silent && !s.is_unresponsive(timeout, self.now);
         let ready = self.servers.values().filter(|s| s.entry.state == ServerState::Ready);
-        ready.filter(speaks).map(|s| self.size_of(s)).sum::<f64>() > share * self.ready_size()
+        ready.filter(responsive).map(|s| self.size_of(s)).sum::<f64>() > share * self.ready_size()
     }
 
-    fn reserve(&self) -> Span {
-        self.shortest_aim.scale(RESEND_SHARE).max(RESEND_LEAST)
+    fn resend_reserve(&self) -> Span {
+        self.shortest_target.scale(RESEND_RESERVE).max(MIN_RESEND_RESERVE)
     }
 
-    fn review_every(&self) -> Span {
-        self.shortest_aim.scale(REVIEW_SHARE).max(REVIEW_LEAST)
+    fn recheck_interval(&self) -> Span {
+        self.shortest_target.scale(RECHECK_INTERVAL).max(MIN_RECHECK_INTERVAL)
     }
 
-    /// Guards against calls lost into a server that went silent (hung, vanished, cut off): a set-up
-    /// that nobody answers is withdrawn while it can still stand elsewhere. A slow server that answers
-    /// others keeps it.
+    /// Cancels an unanswered set-up while the call can still be established elsewhere. Guards against calls
+    /// lost at a server gone silent (hung, vanished, cut off); a slow one that answers others keeps it.
     fn review(&mut self, id: CallId, attempt: Attempt, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(&id) else { return };
-        let Stage::Out { server, attempt: out, .. } = call.stage else { return };
-        if out != attempt {
+        let Stage::Out { server, attempt: current, .. } = call.stage else { return };
+        if current != attempt {
             return;
         }
-        let silent_from = self.patience();
-        let lost = |s: &Server| s.out.iter().any(|o| o.call == id && s.lost(o));
+        let timeout = self.silence_timeout();
+        let lost = |s: &Server| s.outstanding.iter().any(|o| o.call == id && s.is_lost(o));
         let dead = self
             .servers
             .get(&server)
-            .is_none_or(|s| s.silent || lost(s) || s.unanswered(silent_from, self.now));
+            .is_none_or(|s| s.silent || lost(s) || s.is_unresponsive(timeout, self.now));
         let others = self
             .candidates(call)
             .into_iter()
             .any(|s| s != server && self.servers.get(&s).is_some_and(|s| !s.silent));
-        let others = others && (self.unwatched() == 0.0 || self.speak(0.5));
-        let room = self.time_left(call) > self.settings.resend_delay.max(self.reserve());
+        let others = others && (self.fleet_factor() == 0.0 || self.responsive_exceed(0.5));
+        let room = self.time_left(call) > self.settings.resend_delay.max(self.resend_reserve());
         if dead && others && room && call.attempts < self.settings.max_attempts {
             actions.push(Action::Cancel { call: id, attempt });
             if self.servers.get(&server).is_some_and(lost) {
-                return self
-                    .log("lost: a server answers later set-ups first; its overdue are withdrawn", actions);
+                return self.log("lost: later set-ups are answered first; cancelling overdue ones", actions);
             }
             self.mark_silent(server);
-            self.log("silent: a server answers no set-ups; its calls are withdrawn and diverted", actions);
+            self.log("silent: a call server answers no set-ups; cancelling and diverting its calls", actions);
         } else {
-            self.wake_in(self.review_every(), Wake::Review(id, attempt), actions);
+            self.set_timer(self.recheck_interval(), TimerPurpose::Review(id, attempt), actions);
         }
     }
 
-    fn on_stands(&mut self, id: CallId, attempt: Attempt, server: ServerId, took: Span) {
-        let sent = self.no_longer_out(server, id, attempt).unwrap_or_default();
+    fn on_success(&mut self, id: CallId, attempt: Attempt, server: ServerId, took: Span) {
+        let sent = self.remove_outstanding(server, id, attempt).unwrap_or_default();
         if let Some(server) = self.servers.get_mut(&server) {
             server.answered = server.answered.max(sent);
         }
-        self.saw_wait(server, took, self.now);
-        let in_good_time = took <= self.shortest_aim.scale(PRESSED_TO);
-        self.count(server, 1, u32::from(in_good_time));
+        self.record_wait(server, took, self.now);
+        let fast_enough = took <= self.shortest_target.scale(CONGESTED_TO);
+        self.count(server, 1, u32::from(fast_enough));
         let size = self.ready_size();
         self.usual.record_accept(self.now, size);
-        let in_a_window = self.usual_rate() * size * WINDOW.secs();
-        self.shares.record_accept(in_a_window);
+        let calls_per_window = self.usual_rate() * size * THROTTLE_WINDOW.secs();
+        self.shares.record_accept(calls_per_window);
         let Some(call) = self.calls.remove(&id) else { return };
         if !self.is_first_choice(server, &call) {
-            self.kept = Some(server);
+            self.last_taker = Some(server);
         }
         if let Some(window) = self.numbers.get_mut(&call.new.number) {
             window.add(self.now, 0, 1);
@@ -804,10 +794,10 @@
     }
 
     fn on_ended(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
-        let was_out = self.no_longer_out(end.server, end.call, end.attempt);
+        let was_out = self.remove_outstanding(end.server, end.call, end.attempt);
         self.read_load(end.server, &end.load);
         if was_out.is_some() {
-            self.learn(&end);
+            self.update_server(&end);
         }
         let Some(call) = self.calls.get_mut(&end.call) else { return };
         if !matches!(call.stage, Stage::Out { attempt, .. } if attempt == end.attempt) {
@@ -823,20 +813,20 @@
         match end.outcome {
             Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent => {
                 if end.outcome == Outcome::Full {
-                    call.draw *= FULL_LEAVES;
+                    call.draw *= DRAW_FACTOR_AFTER_FULL;
                 }
-                self.send_again(end.call, actions);
+                self.retry(end.call, actions);
             }
             Outcome::Error | Outcome::Ok => {
                 call.may_have_run.get_or_insert((end.server, sent));
                 if end.cause == Cause::NumberBusy {
-                    self.number_was_busy(end.call);
+                    self.record_number_busy(end.call);
                     if let Some(call) = self.calls.remove(&end.call) {
-                        self.turn_away(&call, actions);
+                        self.refuse_or_fail(&call, actions);
                     }
                 } else {
                     call.erred.push(end.server);
-                    self.send_again(end.call, actions);
+                    self.retry(end.call, actions);
                 }
             }
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled => {
@@ -844,35 +834,36 @@
                 if end.outcome == Outcome::Reset {
                     call.erred.push(end.server);
                 }
-                // Rule 5, and one round more, so that the wait is over by anybody's count.
+                // One tick more than the resend delay, so that it has passed by every component's clock.
                 let wait = Span(self.settings.resend_delay.0.saturating_add(self.settings.tick.0));
-                self.wake_in(wait, Wake::Released(end.call), actions);
+                self.set_timer(wait, TimerPurpose::Released(end.call), actions);
             }
         }
     }
 
-    /// What the end of an attempt says of the server.
-    fn learn(&mut self, end: &AttemptEnd) {
-        let told = if let Cause::ProcessorFullFor(wait) = end.cause { wait } else { Span::default() };
-        let waited = self.servers.get(&end.server).map_or(told, |s| s.wait_now(self.now, Span::default()));
+    fn update_server(&mut self, end: &AttemptEnd) {
+        let reported = if let Cause::ProcessorFullFor(wait) = end.cause { wait } else { Span::default() };
+        let server = self.servers.get(&end.server);
+        let wait = server.map_or(reported, |s| s.estimated_wait(self.now, Span::default()));
         match end.outcome {
             Outcome::Full => {
+                let when_full = reported.max(self.shortest_target.scale(WAIT_WHEN_FULL));
                 match end.cause {
-                    // No free line: the processor answered in its turn, and its wait is what it was.
-                    Cause::NoCircuit => self.saw_wait(end.server, waited, self.now),
-                    _ => self.saw_wait(end.server, told.max(self.shortest_aim.scale(FULL_MEANS)), self.now),
+                    // No free line: the processor answered normally, so its wait is unchanged.
+                    Cause::NoCircuit => self.record_wait(end.server, wait, self.now),
+                    _ => self.record_wait(end.server, when_full, self.now),
                 }
                 self.count(end.server, 1, 0);
-                if self.kept == Some(end.server) {
-                    self.kept = None; // drawn anew
+                if self.last_taker == Some(end.server) {
+                    self.last_taker = None; // chosen at random again
                 }
             }
-            // The server did its work: the number or the line was at fault.
+            // The server processed the call: the number or the line was at fault.
             Outcome::Error | Outcome::Ok => {
-                self.saw_wait(end.server, end.took, self.now);
+                self.record_wait(end.server, end.took, self.now);
                 self.count(end.server, 1, 1);
             }
-            // A reset blames the connection, not the processor: a server that has died refuses the next one.
+            // A reset is the connection's fault, not the processor's: a dead server refuses the next one.
             Outcome::Reset => {}
             Outcome::TimedOut | Outcome::Cancelled => self.count(end.server, 1, 0),
             Outcome::ConnectFailed => {
@@ -883,26 +874,26 @@
         }
     }
 
-    fn saw_wait(&mut self, id: ServerId, wait: Span, at: Time) {
+    fn record_wait(&mut self, id: ServerId, wait: Span, at: Time) {
         if let Some(server) = self.servers.get_mut(&id) {
             (server.heard, server.wait) = (server.heard.max(at), (wait, at));
             if std::mem::take(&mut server.silent) {
-                server.counts.clear(); // the misses of the silence would keep healthy work away
+                server.counts.clear(); // requests counted during the silence would keep calls away
             }
         }
     }
 
-    /// What another gateway saw counts where nothing later was seen here.
-    fn heard_of(&mut self, id: ServerId, wait: Span, silent: bool, at: Time) {
+    /// Another controller's observation counts if there is no later one here.
+    fn on_observation(&mut self, id: ServerId, wait: Span, silent: bool, at: Time) {
         match self.servers.get(&id).is_some_and(|s| s.wait.1 < at) {
             true if silent => self.mark_silent(id),
-            true => self.saw_wait(id, wait, at),
+            true => self.record_wait(id, wait, at),
             false => {}
         }
     }
 
-    /// A reported wait is one more sight of it. A queue is read as the time that all gateways' usual calls
-    /// need; a slow server needs more, so only an empty one lowers a longer wait that was seen.
+    /// Takes a reported wait as an observation. A reported queue is converted to a wait by the usual rate of
+    /// all controllers; as a slow server needs longer, only an empty queue shortens a longer observed wait.
     fn read_load(&mut self, id: ServerId, load: &LoadReport) {
         let now = self.now;
         let fleet = self.usual_rate() * f64::from(self.settings.controllers.max(1)) * self.size(id);
@@ -926,50 +917,51 @@
         }
     }
 
-    /// Takes an attempt off the books of its server; when it was sent, if it was there.
-    fn no_longer_out(&mut self, server: ServerId, call: CallId, attempt: Attempt) -> Option<Time> {
+    /// Removes an outstanding attempt; returns when it was sent.
+    fn remove_outstanding(&mut self, server: ServerId, call: CallId, attempt: Attempt) -> Option<Time> {
         let server = self.servers.get_mut(&server)?;
-        let at = server.out.iter().position(|o| o.call == call && o.attempt == attempt)?;
-        Some(server.out.remove(at).sent)
+        let at = server.outstanding.iter().position(|o| o.call == call && o.attempt == attempt)?;
+        Some(server.outstanding.remove(at).sent)
     }
 
-    fn number_was_busy(&mut self, id: CallId) {
+    fn record_number_busy(&mut self, id: CallId) {
         let Some(number) = self.calls.get(&id).map(|c| c.new.number) else { return };
         if number == Number(0) {
             return;
         }
-        if self.numbers.len() >= NUMBERS && !self.numbers.contains_key(&number) {
+        if self.numbers.len() >= MAX_TRACKED_NUMBERS && !self.numbers.contains_key(&number) {
             self.numbers.pop_first();
         }
-        let fresh = Window::starting_with(LONG_WINDOW, self.now, 1, 0);
-        self.numbers.entry(number).or_insert(fresh);
+        let window = Window::starting_with(LONG_WINDOW, self.now, 1, 0);
+        self.numbers.entry(number).or_insert(window);
     }
 
-    /// A call whose attempt came to nothing goes to another server, or gets its final answer.
-    fn send_again(&mut self, id: CallId, actions: &mut Vec<Action>) {
+    /// Sends a call whose attempt failed to another server, or gives it its final answer.
+    fn retry(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(&id) else { return };
         let room = call.attempts < self.settings.max_attempts && self.time_left(&call) > Span::default();
-        match if room { self.place(&call, false).or_else(|| self.once_more(&call)) } else { None } {
+        let server = room.then(|| self.choose_server(&call, false).or_else(|| self.retry_same_server(&call)));
+        match server.flatten() {
             Some(server) => self.send(call, server, actions),
-            None => self.turn_away(&call, actions),
+            None => self.refuse_or_fail(&call, actions),
         }
     }
 
-    /// A call that no other server takes goes once more to the one that answered with an error, or whose
-    /// answer was lost. Guards against calls refused for want of another server while one that fails some
-    /// of its calls would take them. Errors of two servers blame the call: it is not tried on.
-    fn once_more(&mut self, call: &Call) -> Option<ServerId> {
+    /// The server for a second try after an error or a broken connection, if no other server takes the call.
+    /// Guards against calls refused for lack of another server although one that fails some of its calls
+    /// would take them. After errors of two servers the call itself is at fault and is not sent again.
+    fn retry_same_server(&mut self, call: &Call) -> Option<ServerId> {
         let &[server] = call.erred.as_slice() else { return None };
         let class = self.settings.classes.get(call.new.class);
         let known = self.servers.get(&server).filter(|s| s.entry.state == ServerState::Ready)?;
-        (self.repeat_is_safe(call, class, known) && self.passes(server, call)).then_some(server)
+        (self.repeat_is_safe(call, class, known) && self.may_send(server, call)).then_some(server)
     }
 
     // ---- Final answers -------------------------------------------------------------------
 
-    /// The final answer for a call that will not stand: refused, unless it may have been carried out
-    /// where its class does not bear a repeat.
-    fn turn_away(&mut self, call: &Call, actions: &mut Vec<Action>) {
+    /// The final answer for a call that is not established: refused, or failed if the call may have been
+    /// executed and its class does not allow a repeat at any server.
+    fn refuse_or_fail(&mut self, call: &Call, actions: &mut Vec<Action>) {
         let id = call.new.call;
         let class = self.settings.classes.get(call.new.class);
         let may_refuse = call.may_have_run.is_none()
@@ -979,8 +971,8 @@
                 Repeats::SingleShot => false,
             });
         if may_refuse {
-            let told = if self.settings.may_send_retry_after { COME_BACK } else { Span::default() };
-            let retry_after = told.min(self.settings.max_retry_after);
+            let wanted = if self.settings.may_send_retry_after { RETRY_AFTER } else { Span::default() };
+            let retry_after = wanted.min(self.settings.max_retry_after);
             actions.push(Action::Refuse { call: id, retry_after });
         } else {
             actions.push(Action::Fail { call: id });
@@ -989,15 +981,15 @@
 
     fn on_hung_up(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(&id) else { return };
-        self.withdraw(&call, actions);
+        self.cancel_outstanding(&call, actions);
     }
 
-    /// Takes back what is out for a call that is over. A call that leaves early says nothing of the
-    /// server: only one that was kept waiting counts as a request without an accept.
-    fn withdraw(&mut self, call: &Call, actions: &mut Vec<Action>) {
+    /// Cancels the outstanding attempt of a call that is over. An early hang-up says nothing about the
+    /// server: only a call that was kept waiting counts as a request without an accept.
+    fn cancel_outstanding(&mut self, call: &Call, actions: &mut Vec<Action>) {
         let Stage::Out { server, attempt, sent } = call.stage else { return };
-        if self.no_longer_out(server, call.new.call, attempt).is_some()
-            && self.now.since(sent) > self.shortest_aim.scale(SILENT_FROM)
+        if self.remove_outstanding(server, call.new.call, attempt).is_some()
+            && self.now.since(sent) > self.shortest_target.scale(SILENCE_TIMEOUT)
         {
             self.count(server, 1, 0);
         }
@@ -1010,29 +1002,29 @@
 
     fn on_timer(&mut self, token: TimerToken, actions: &mut Vec<Action>) {
         match self.timers.take(token) {
-            Some(Wake::LastAnswer(id)) => {
-                // Rule 1: the caller is about to give up.
+            Some(TimerPurpose::LastAnswer(id)) => {
+                // The final answer must be sent before the caller gives up.
                 let Some(call) = self.calls.remove(&id) else { return };
-                self.withdraw(&call, actions);
+                self.cancel_outstanding(&call, actions);
                 actions.push(Action::Fail { call: id });
             }
-            Some(Wake::Review(id, attempt)) => self.review(id, attempt, actions),
-            Some(Wake::Released(id)) => self.send_again(id, actions),
-            Some(Wake::Watch) => actions.push(Action::SubscribeList(true)),
+            Some(TimerPurpose::Review(id, attempt)) => self.review(id, attempt, actions),
+            Some(TimerPurpose::Released(id)) => self.retry(id, actions),
+            Some(TimerPurpose::Resubscribe) => actions.push(Action::SubscribeList(true)),
             None => {}
         }
     }
 
-    fn wake_in(&mut self, after: Span, wake: Wake, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer { after, token: self.timers.set(wake) });
+    fn set_timer(&mut self, after: Span, purpose: TimerPurpose, actions: &mut Vec<Action>) {
+        actions.push(Action::Timer { after, token: self.timers.set(purpose) });
     }
 
     fn log(&mut self, line: &'static str, actions: &mut Vec<Action>) {
-        actions.extend(self.logged.admit(self.now, LOG_EVERY, line).map(Action::Log));
+        actions.extend(self.log_limiter.admit(self.now, LOG_INTERVAL, line).map(Action::Log));
     }
 }
 
-/// The formula of C4-183506.
+/// The refusal probability of the adaptive throttling (C4-183506).
 pub fn refusal_probability(requests: f64, accepts: f64) -> f64 {
-    ((requests - CUTOFF * accepts) / (requests + 1.0)).max(0.0)
+    ((requests - THROTTLE_K * accepts) / (requests + 1.0)).max(0.0)
 }
--- a/src/rules/in_flight.rs
+++ b/src/rules/in_flight.rs
@@ -1,13 +1,14 @@
-//! What tests compare with what the core holds.
+//! Access to the outstanding set-ups, which tests compare with the state of the core.
 
 use std::collections::BTreeSet;
 
 use super::{CallId, Controller, Server, ServerId};
 
 impl Controller {
-    /// The set-ups that are out, as this gateway sees it.
+    /// The outstanding set-ups according to the decision module.
     pub(crate) fn in_flight(&self) -> BTreeSet<(ServerId, CallId)> {
-        let out = |(id, s): (&ServerId, &Server)| s.out.iter().map(|o| (*id, o.call)).collect::<Vec<_>>();
-        self.servers.iter().flat_map(out).collect()
+        let of_server =
+            |(id, s): (&ServerId, &Server)| s.outstanding.iter().map(|o| (*id, o.call)).collect::<Vec<_>>();
+        self.servers.iter().flat_map(of_server).collect()
     }
 }
