--- a/src/bin/lockpoint-drill.rs
+++ b/src/bin/lockpoint-drill.rs
@@ -1,4 +1,5 @@
-//! Plays the simulator's wire: one controller an instance, nothing shared between them, no decisions.
+//! Runs controllers for the simulator over its binary protocol on stdin and stdout: one per instance, with no shared
+//! state.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
@@ -20,30 +21,30 @@
 
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), Box<dyn std::error::Error>> {
     let mut decoder = Decoder::default();
-    let mut gateways = BTreeMap::new();
+    let mut controllers = BTreeMap::new();
     while let Some(frame) = read_frame(input)? {
-        let reply = play(decoder.decode(&frame)?, &mut gateways);
+        let reply = handle_batch(decoder.decode(&frame)?, &mut controllers);
         output.write_all(&reply.finish())?;
         output.flush()?;
     }
     Ok(())
 }
 
-fn play(batch: Batch, gateways: &mut BTreeMap<InstanceNo, Controller>) -> Reply {
+fn handle_batch(batch: Batch, controllers: &mut BTreeMap<InstanceNo, Controller>) -> Reply {
     let mut reply = Reply::default();
     let mut actions: Vec<Action> = Vec::new();
     for (instance, record) in batch.records {
         match record {
             Record::Begin { seed, settings } => {
-                gateways.insert(instance, Controller::new(*settings, seed));
+                controllers.insert(instance, Controller::new(*settings, seed));
             }
             Record::Killed => {
-                gateways.remove(&instance);
+                controllers.remove(&instance);
             }
             Record::Event(event) => {
-                // An instance that is down hears nothing.
-                if let Some(gateway) = gateways.get_mut(&instance) {
-                    gateway.handle(batch.clock, event, &mut actions);
+                // Events for an instance that is down are ignored.
+                if let Some(controller) = controllers.get_mut(&instance) {
+                    controller.handle(batch.clock, event, &mut actions);
                 }
             }
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! lockpoint: the decisions of an edge controller that sets calls up at shared core servers.
+//! lockpoint: a session controller that sets up calls at shared call servers.
 //!
-//! [`rules::Controller`] takes [`interface::Event`]s and answers with [`interface::Action`]s. It does no I/O,
-//! keeps no clock and starts no thread: time is what the caller says it is, chance comes from the seed.
+//! The decision module, [`rules::Controller`], takes [`interface::Event`]s and returns [`interface::Action`]s. It does
+//! no I/O, reads no clock and starts no threads: the host program passes in the time and the random seed.
 //!
 //! ```
 //! use lockpoint::interface::*;
@@ -9,10 +9,10 @@
 //!
 //! let mut settings = Settings { max_attempts: 3, ..Settings::default() };
 //! settings.classes.push(ClassSettings { setup_target: Span::from_millis(1500), ..ClassSettings::default() });
-//! let mut gateway = Controller::new(settings, 7);
+//! let mut controller = Controller::new(settings, 7);
 //! let mut actions = Vec::new();
 //!
-//! // The list names two servers.
+//! // The server list names two call servers.
 //! let server = |n: u32| ServerEntry {
 //!     server: ServerId { address: n, port: 7000 },
 //!     cell: Cell(n as u16),
@@ -21,9 +21,9 @@
 //!     state: ServerState::Ready,
 //! };
 //! let list = Event::List { kind: ListKind::Full, entries: vec![server(1), server(2)] };
-//! gateway.handle(Time(1_000_000), list, &mut actions);
+//! controller.handle(Time(1_000_000), list, &mut actions);
 //!
-//! // A call arrives that would rather go to server 1.
+//! // A call comes in whose first choice is server 1.
 //! let call = Event::Call(NewCall {
 //!     call: CallId(42),
 //!     class: 0,
@@ -34,16 +34,16 @@
 //!     tenant: None,
 //!     in_transit: false,
 //! });
-//! gateway.handle(Time(1_000_000), call, &mut actions);
+//! controller.handle(Time(1_000_000), call, &mut actions);
 //! let sent_to = |actions: &[Action]| actions.iter().find_map(|a| match a {
 //!     Action::Send { server, .. } => Some(server.address),
 //!     _ => None,
 //! });
 //! assert_eq!(sent_to(&actions), Some(1));
 //!
-//! // Server 1 answers that its processor is full: the call is diverted at once.
+//! // Server 1 rejects it because its processor is full: the call is diverted at once.
 //! actions.clear();
-//! gateway.handle(Time(1_050_000), Event::Ended(AttemptEnd {
+//! controller.handle(Time(1_050_000), Event::Ended(AttemptEnd {
 //!     call: CallId(42),
 //!     attempt: Attempt(0),
 //!     server: server(1).server,
@@ -55,9 +55,9 @@
 //! }), &mut actions);
 //! assert_eq!(sent_to(&actions), Some(2));
 //!
-//! // Server 2 takes it: the call stands and the gateway owes nothing more.
+//! // Server 2 takes it: the call is established, and no action is left to do.
 //! actions.clear();
-//! gateway.handle(Time(1_120_000), Event::Established {
+//! controller.handle(Time(1_120_000), Event::Established {
 //!     call: CallId(42), attempt: Attempt(1), server: server(2).server, took: Span::from_millis(70),
 //! }, &mut actions);
 //! assert!(actions.is_empty());
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: frames in, frames out, settings. No decisions.
+//! Codec of the simulator's binary protocol: decodes batches of events and the settings, encodes replies of actions.
 
 use std::io::{self, Read};
 
@@ -10,100 +10,100 @@
     TimerToken,
 };
 
-/// Bytes ahead of the records of a batch: clock, length, count.
-const HEADER: usize = 16;
-/// Numbers that a directory can have.
-const SHEETS: usize = 16;
-/// Bytes of one directory entry.
-const ENTRY: usize = 25;
-/// Bit of a call that was dialled again.
-const BIT_REDIALLED: u8 = 2;
-/// Bit of a call in transit.
-const BIT_IN_TRANSIT: u8 = 8;
-
-/// A frame that cannot be read: where and why.
+/// Length of a batch header in bytes: clock, length, record count.
+const HEADER_LEN: usize = 16;
+/// Number of directories that can be held; they are numbered from 0.
+const MAX_DIRECTORIES: usize = 16;
+/// Length of a directory entry in bytes.
+const ENTRY_LEN: usize = 25;
+/// Flag of a call that was redialled.
+const FLAG_REDIALLED: u8 = 2;
+/// Flag of a call forwarded by another controller.
+const FLAG_IN_TRANSIT: u8 = 8;
+
+/// A malformed frame: position and reason.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WireError {
-    /// The record, counted from 0; `None`: the header.
+    /// Index of the record, from 0; `None`: the error is in the header.
     pub record: Option<u32>,
-    /// Byte position in the frame.
+    /// Byte offset in the frame.
     pub position: usize,
-    /// What is wrong.
-    pub what: String,
+    /// Description of the error.
+    pub reason: String,
 }
 
 impl std::fmt::Display for WireError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.record {
-            Some(record) => write!(f, "record {record} at byte {}: {}", self.position, self.what),
-            None => write!(f, "batch header at byte {}: {}", self.position, self.what),
+            Some(record) => write!(f, "record {record} at byte {}: {}", self.position, self.reason),
+            None => write!(f, "batch header at byte {}: {}", self.position, self.reason),
         }
     }
 }
 
 impl std::error::Error for WireError {}
 
-/// The number of an instance on the wire.
+/// The number of a controller instance in the protocol.
 pub type InstanceNo = u32;
 
-/// One record of a batch, read.
+/// A decoded record of a batch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
-    /// An instance begins.
+    /// An instance is started.
     Begin {
-        /// Its seed.
+        /// Its random seed.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
     /// An instance was killed.
     Killed,
-    /// Anything that the controller hears.
+    /// An event for the controller.
     Event(Event),
 }
 
-/// A batch: its clock, and its records with the instance that each concerns.
+/// A decoded batch of records.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Batch {
-    /// The time at which all of it happens.
+    /// The time of all its events.
     pub clock: Time,
-    /// In order of arrival.
+    /// The records with the instance that each is for, in order of arrival.
     pub records: Vec<(InstanceNo, Record)>,
 }
 
-/// Reads frames; holds the directories, which outlive a batch.
+/// Decodes frames. Keeps the directories, which stay valid across batches.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    sheets: [Option<Vec<ServerEntry>>; SHEETS],
+    directories: [Option<Vec<ServerEntry>>; MAX_DIRECTORIES],
 }
 
-/// Reads one frame's bytes. `Ok(None)`: the input ended between frames.
+/// Reads the bytes of one frame; `Ok(None)` if the input ends between frames.
 pub fn read_frame(input: &mut impl Read) -> io::Result<Option<Vec<u8>>> {
-    let mut frame = Vec::with_capacity(HEADER);
-    input.by_ref().take(HEADER as u64).read_to_end(&mut frame)?;
+    let mut frame = Vec::with_capacity(HEADER_LEN);
+    input.by_ref().take(HEADER_LEN as u64).read_to_end(&mut frame)?;
     if frame.is_empty() {
         return Ok(None);
     }
-    let cut_short = |frame: &Vec<u8>| {
-        let what = format!("batch header at byte {}: the input ends within a batch", frame.len());
-        io::Error::new(io::ErrorKind::UnexpectedEof, what)
+    let truncated = |frame: &Vec<u8>| {
+        let reason = format!("batch header at byte {}: the input ends within a batch", frame.len());
+        io::Error::new(io::ErrorKind::UnexpectedEof, reason)
     };
-    if frame.len() < HEADER {
-        return Err(cut_short(&frame));
+    if frame.len() < HEADER_LEN {
+        return Err(truncated(&frame));
     }
     let length = u32::from_be_bytes([frame[8], frame[9], frame[10], frame[11]]);
-    // The record count is within the length; what follows is read as it comes, not as it is announced.
+    // The length includes the record count. The buffer grows with the bytes received, not with the announced length.
     let rest = u64::from(length).checked_sub(4).ok_or_else(|| {
         io::Error::new(io::ErrorKind::InvalidData, "batch header at byte 8: the length is under 4")
     })?;
     input.take(rest).read_to_end(&mut frame)?;
-    if (frame.len() - HEADER) as u64 != rest {
-        return Err(cut_short(&frame));
+    if (frame.len() - HEADER_LEN) as u64 != rest {
+        return Err(truncated(&frame));
     }
     Ok(Some(frame))
 }
 
-/// Takes fields off a frame, knowing where it stands.
+/// Reads fields from a frame and keeps the position for error reports.
 struct Cursor<'a> {
     bytes: &'a [u8],
     at: usize,
@@ -111,8 +111,8 @@
 }
 
 impl<'a> Cursor<'a> {
-    fn fail<T>(&self, what: impl Into<String>) -> Result<T, WireError> {
-        Err(WireError { record: self.record, position: self.at, what: what.into() })
+    fn fail<T>(&self, reason: impl Into<String>) -> Result<T, WireError> {
+        Err(WireError { record: self.record, position: self.at, reason: reason.into() })
     }
     fn bytes(&mut self, n: usize, field: &str) -> Result<&'a [u8], WireError> {
         match self.bytes.get(self.at..).and_then(|rest| rest.get(..n)) {
@@ -172,12 +172,12 @@
     }
 }
 
-/// A cell as the wire's floating number names it; `None` where it names none.
-fn cell_of(number: f32) -> Option<Cell> {
+/// The cell that a floating-point field of the protocol names; `None` if it names none.
+fn cell_from(number: f32) -> Option<Cell> {
     (number >= 0.0 && number <= f32::from(u16::MAX)).then_some(Cell(number as u16))
 }
 
-fn cause_of(code: u32) -> Cause {
+fn cause_from(code: u32) -> Cause {
     match code % 16 {
         1 => Cause::NoCircuit,
         2 => Cause::TurnedBack,
@@ -189,7 +189,7 @@
 }
 
 impl Decoder {
-    /// Reads a whole frame.
+    /// Decodes a whole frame.
     pub fn decode(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
         let mut cursor = Cursor { bytes: frame, at: 0, record: None };
         let clock = Time(cursor.u64("clock")?);
@@ -222,13 +222,13 @@
     ) -> Result<Option<Record>, WireError> {
         let event = match cursor.u8("record code")? {
             0 => return self.begin(cursor).map(Some),
-            1 => self.targets(cursor)?,
-            2 => work_item(cursor)?,
+            1 => self.server_list(cursor)?,
+            2 => new_call(cursor)?,
             3 => {
                 let (call, took, server) = (cursor.call()?, cursor.span("rtt-us")?, cursor.server()?);
                 Event::Established { call, took, server, attempt: Attempt(cursor.u16("hop")?) }
             }
-            4 => finished(cursor)?,
+            4 => attempt_end(cursor)?,
             5 => Event::HungUp(cursor.call()?),
             6 => Event::Timer(TimerToken(cursor.u32("handle")?)),
             7 => {
@@ -264,29 +264,29 @@
         let text = cursor.bytes(n, "params")?;
         match parse_settings(text) {
             Ok(settings) => Ok(Record::Begin { seed, settings: Box::new(settings) }),
-            Err(what) => {
+            Err(reason) => {
                 cursor.at = start;
-                cursor.fail(format!("the settings cannot be read: {what}"))
+                cursor.fail(format!("the settings cannot be read: {reason}"))
             }
         }
     }
 
     fn directory(&mut self, cursor: &mut Cursor<'_>) -> Result<(), WireError> {
-        let sheet = usize::from(cursor.u8("sheet")?);
-        if sheet >= SHEETS {
-            return cursor.fail(format!("no list has the number {sheet}"));
+        let number = usize::from(cursor.u8("sheet")?);
+        if number >= MAX_DIRECTORIES {
+            return cursor.fail(format!("no list has the number {number}"));
         }
         let n = cursor.u32("members")? as usize;
-        if n > (cursor.bytes.len() - cursor.at) / ENTRY {
+        if n > (cursor.bytes.len() - cursor.at) / ENTRY_LEN {
             return cursor.fail(format!("{n} members run past the end of the batch"));
         }
         let entries = (0..n).map(|_| entry(cursor)).collect::<Result<Vec<_>, _>>()?;
-        self.sheets[sheet] = Some(entries);
+        self.directories[number] = Some(entries);
         Ok(())
     }
 
-    fn targets(&self, cursor: &mut Cursor<'_>) -> Result<Event, WireError> {
-        let sheet = usize::from(cursor.u8("sheet")?);
+    fn server_list(&self, cursor: &mut Cursor<'_>) -> Result<Event, WireError> {
+        let number = usize::from(cursor.u8("sheet")?);
         cursor.u64("version")?;
         let kind = match cursor.u8("kind")? {
             0 => ListKind::Delta,
@@ -295,9 +295,9 @@
             3 => return Ok(Event::List { kind: ListKind::Failed, entries: Vec::new() }),
             other => return cursor.fail(format!("no list kind has the code {other}")),
         };
-        match self.sheets.get(sheet) {
+        match self.directories.get(number) {
             Some(Some(entries)) => Ok(Event::List { kind, entries: entries.clone() }),
-            Some(None) | None => cursor.fail(format!("list {sheet} has not been given")),
+            Some(None) | None => cursor.fail(format!("list {number} has not been given")),
         }
     }
 }
@@ -317,25 +317,25 @@
     Ok(ServerEntry { server, cell, zone: cursor.u16("hall")?, started, state })
 }
 
-fn work_item(cursor: &mut Cursor<'_>) -> Result<Event, WireError> {
+fn new_call(cursor: &mut Cursor<'_>) -> Result<Event, WireError> {
     let call = cursor.call()?;
     let class = usize::from(cursor.u8("qos")?);
     let tenant = usize::try_from(cursor.u32("customer")?).ok();
     let number = Number(cursor.u64("route-key")?);
     let valid_until = Time(cursor.u64("valid-until-us")?);
     cursor.u32("estimate-us")?;
-    let first_choice = cell_of(cursor.f32("terminates-at")?);
+    let first_choice = cell_from(cursor.f32("terminates-at")?);
     cursor.f32("units")?;
     cursor.f32("tandem")?;
-    let bits = cursor.u8("bits")?;
-    let redialled = bits & BIT_REDIALLED != 0;
-    let in_transit = bits & BIT_IN_TRANSIT != 0;
+    let flags = cursor.u8("bits")?;
+    let redialled = flags & FLAG_REDIALLED != 0;
+    let in_transit = flags & FLAG_IN_TRANSIT != 0;
     Ok(Event::Call(NewCall { call, class, tenant, number, valid_until, first_choice, redialled, in_transit }))
 }
 
-fn finished(cursor: &mut Cursor<'_>) -> Result<Event, WireError> {
+fn attempt_end(cursor: &mut Cursor<'_>) -> Result<Event, WireError> {
     let call = cursor.call()?;
-    let cause = cause_of(cursor.u32("clear-code")?);
+    let cause = cause_from(cursor.u32("clear-code")?);
     let took = cursor.span("rtt-us")?;
     let attempt = Attempt(cursor.u16("hop")?);
     let outcome = cursor.outcome()?;
@@ -345,7 +345,7 @@
     Ok(Event::Ended(AttemptEnd { call, attempt, server, outcome, cause, took, closed, load }))
 }
 
-/// Actions of several instances, as one reply.
+/// A reply frame with the actions of several instances.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: u32,
@@ -354,10 +354,10 @@
 }
 
 impl Reply {
-    /// Appends an action of this instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: InstanceNo, action: &Action) {
         if matches!(action, Action::RequestPermits { .. } | Action::LendPermits { .. }) {
-            return; // the simulator's wire has no form for them: its gateways share nothing
+            return; // the simulator's protocol has no record for them
         }
         if self.instance != Some(instance) {
             self.instance = Some(instance);
@@ -370,7 +370,7 @@
                 self.bytes.extend(call.0.to_be_bytes());
                 self.bytes.extend(server.address.to_be_bytes());
                 self.bytes.extend(server.port.to_be_bytes());
-                // On the wire 0 stands for no time-out, so the shortest is 1.
+                // In the protocol 0 means no timeout, so the shortest timeout is 1.
                 self.span(timeout.map_or(Span(0), |p| p.max(Span(1))));
             }
             Action::Refuse { call, retry_after } => {
@@ -420,7 +420,7 @@
         }
     }
 
-    /// The frame, ready to be written.
+    /// Encodes the frame.
     pub fn finish(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.bytes.len());
         frame.extend(self.records.to_be_bytes());
@@ -531,16 +531,16 @@
     this_node: Option<f64>,
 }
 
-/// Reads the settings; the error is a plain sentence that names the key.
+/// Parses the settings; the error message names the key at fault.
 pub fn parse_settings(text: &[u8]) -> Result<Settings, String> {
     let reader = &mut serde_json::Deserializer::from_slice(text);
     let params: Params = serde_path_to_error::deserialize(reader).map_err(|error| {
         let path = error.path().to_string();
         format!("at key '{path}': {}", error.into_inner())
     })?;
-    let pools = params.extra.shape == "skills";
+    let by_skill = params.extra.shape == "skills";
     let cells = |index: usize| -> Option<Vec<Cell>> {
-        let lists = params.extra.class_cells.as_ref().filter(|_| pools)?;
+        let lists = params.extra.class_cells.as_ref().filter(|_| by_skill)?;
         lists.get(index).map(|list| list.iter().copied().map(Cell).collect())
     };
     let classes = params.classes.iter().enumerate().map(|(index, class)| ClassSettings {
@@ -579,6 +579,6 @@
         overload_factor: params.rules.overload_factor,
         overload_time: Span(params.rules.tip_after_us),
         tick: Span(params.granularity_us),
-        own_cell: params.extra.this_node.and_then(|node| cell_of(node as f32)),
+        own_cell: params.extra.this_node.and_then(|node| cell_from(node as f32)),
     })
 }
--- a/tests/pieces.rs
+++ b/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! Peers that write in pieces of any size, go silent in the midst of a message, or leave there.
+//! Peers that send messages in fragments of any size, stall in the middle of a message, or disconnect there.
 
 mod support;
 
@@ -18,19 +18,19 @@
     move |seen| seen.sid == sid && seen.what == what
 }
 
-/// Guards against readers that take a piece for a whole: bulletin, call server and caller, each in turn, in pieces down
-/// to a byte, with empty lines in between.
+/// Guards against parsers that take a fragment for a whole message. Bulletin, call server and caller send fragments down
+/// to one byte, with empty lines in between.
 #[rstest]
-fn all_readers_take_any_pieces(#[values(1, 2, 3, 7, 50)] pieces: usize) {
+fn all_parsers_accept_fragments_of_any_size(#[values(1, 2, 3, 7, 50)] fragment: usize) {
     on_one_thread(async {
         let world = World::default();
         let (controller, servers, bulletin) = Controller::with_servers(&world, &[answers(DESCRIPTION)]).await;
-        servers[0].pieces.set(pieces);
-        bulletin.pieces.set(pieces);
+        servers[0].pieces.set(fragment);
+        bulletin.pieces.set(fragment);
         let caller = Caller::connect(&world, "c", controller.at).await;
         for n in 1..=3 {
-            caller.say_in(pieces, b"\n\r\n").await;
-            caller.open_in(pieces, &name(n), 9_000, 0, DESCRIPTION).await;
+            caller.say_in(fragment, b"\n\r\n").await;
+            caller.open_in(fragment, &name(n), 9_000, 0, DESCRIPTION).await;
             assert_eq!(world.answer(&name(n)).await.what, What::Ready(DESCRIPTION.into()));
             let asked =
                 world.until("the set-up", |s| matches!(s.what, What::SetUp(..)) && s.sid == name(n)).await;
@@ -40,24 +40,27 @@
             servers[0].release(&name(n), 16);
             world.until("the release", is(&name(n), What::Close(16, None))).await;
         }
-        bulletin.tell(false, vec![host("s1", servers[0].at, 1, "draining"), host("s2", gone(), 2, "ready")]);
-        controller.turns("the news", |i| i.servers().len() == 3).await;
+        bulletin.tell(
+            false,
+            vec![host("s1", servers[0].at, 1, "draining"), host("s2", unused_address(), 2, "ready")],
+        );
+        controller.turns("the bulletin update", |i| i.servers().len() == 3).await;
         let c = controller.instance.counters();
         assert_eq!((c.malformed_lines, c.malformed_sip, c.spoilt, c.bulletin_failures), (0, 0, 0, 0));
     });
 }
 
-/// An address at which nobody listens.
-fn gone() -> SocketAddr {
+/// An address on which nothing listens.
+fn unused_address() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-/// Guards against requests that are settled otherwise than by how far they had come: the server had begun to answer,
-/// so its call may have run, and goes elsewhere only after the release time.
+/// Guards against a set-up that is resent too early after its connection is lost. The call server had begun to answer, so
+/// the call may have been executed and may go elsewhere only after the resend delay.
 #[rstest]
-#[case::goes_silent(false)]
-#[case::leaves(true)]
-fn a_call_server_gone_in_the_midst_of_an_answer_costs_that_connection_only(#[case] leaves: bool) {
+#[case::stalls(false)]
+#[case::disconnects(true)]
+fn a_call_server_lost_within_an_answer_affects_only_its_own_connection(#[case] disconnects: bool) {
     on_one_thread(async {
         let world = World::default();
         let half = "SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Le";
@@ -68,23 +71,23 @@
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("b".into()));
         caller.open(&name(1), 9_000, 0, "x").await;
         let first = world.until("the set-up", |s| s.who == "s0" && matches!(s.what, What::SetUp(..))).await;
-        if leaves {
+        if disconnects {
             servers[0].die();
         }
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("b".into()));
         let again = world.until("again", |s| s.who == "s1" && s.sid == name(1)).await;
         assert!(again.at - first.at >= Duration::from_millis(500), "{:?}", again.at - first.at);
-        // The other server's connections and calls are as they were.
+        // Connections and calls of the other server are unaffected.
         servers[1].release(&name(2), 16);
         world.until("the release", is(&name(2), What::Close(16, None))).await;
     });
 }
 
-/// Guards against a caller's half a message that takes what else it had asked with it, or stays for good.
+/// Guards against an incomplete message of a caller that affects its other calls, or whose connection stays open forever.
 #[rstest]
-#[case::goes_silent(false)]
-#[case::leaves(true)]
-fn a_caller_gone_in_the_midst_of_a_message_costs_that_connection_only(#[case] leaves: bool) {
+#[case::stalls(false)]
+#[case::disconnects(true)]
+fn a_caller_lost_within_a_message_affects_only_its_own_connection(#[case] disconnects: bool) {
     on_one_thread(async {
         let world = World::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
@@ -93,11 +96,11 @@
         caller.open(&name(1), 9_000, 0, "x").await;
         world.answer(&name(1)).await;
         caller.say(b"{\"msg\":\"open\",\"sid\":\"").await;
-        if leaves {
+        if disconnects {
             caller.drop_connection();
         }
-        controller.turns("its connection has ended", |i| i.counters().clients == 1).await;
-        // What stood stands; its release goes to the other.
+        controller.turns("its connection has been closed", |i| i.counters().clients == 1).await;
+        // The established call continues; its release goes to the other connection.
         assert_eq!(controller.instance.counters().standing, 1);
         servers[0].release(&name(1), 16);
         assert_eq!(world.until("the release", is(&name(1), What::Close(16, None))).await.who, "d");
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The codec, on frames made by hand.
+//! Tests of the simulator protocol's codec on hand-made frames.
 
 use lockpoint::interface::*;
 use lockpoint::wire::{parse_settings, read_frame, Decoder, Record, Reply, WireError};
@@ -18,8 +18,8 @@
     frame
 }
 
-fn fails(count: u32, records: &str) -> WireError {
-    Decoder::default().decode(&frame(count, records)).expect_err("malformed")
+fn decode_error(count: u32, records: &str) -> WireError {
+    Decoder::default().decode(&frame(count, records)).expect_err("a malformed frame")
 }
 
 const SETTINGS: &str = r#"{"balancers": 3, "surprise": [1], "classes": [{"goal-time-us": 1500000, "worth": 3.0,
@@ -30,14 +30,14 @@
     "discovery": "ask", "granularity-us": 5000}"#;
 
 #[test]
-fn an_empty_batch_and_its_reply() {
+fn an_empty_batch_and_an_empty_reply() {
     let batch = Decoder::default().decode(&frame(0, "")).unwrap();
     assert_eq!((batch.clock, batch.records.len()), (Time(0x80_5c5a), 0));
     assert_eq!(Reply::default().finish(), vec![0; 8]);
 }
 
 #[test]
-fn calls_outcomes_and_lists_are_read() {
+fn all_records_of_a_batch_are_decoded() {
     let records = "
         0a 02 00000002 0000 0000 3f800000 0000000000000000 01 0a124a07 1b5b 0000
                        0001 0000 3fc00000 00000000005d1420 02 0a9011f2 1b84 0001
@@ -74,9 +74,9 @@
         }
         other => panic!("{other:?}"),
     }
-    let stands =
+    let established =
         Event::Established { call: CallId(0x5d3a_91c4), attempt: Attempt(1), server, took: Span(0x2422) };
-    assert_eq!(records.next(), Some(Record::Event(stands)));
+    assert_eq!(records.next(), Some(Record::Event(established)));
     match records.next() {
         Some(Record::Event(Event::Ended(end))) => {
             assert_eq!((end.outcome, end.closed), (Outcome::Full, false));
@@ -91,7 +91,7 @@
     assert_eq!(records.next(), Some(Record::Event(Event::PeerMessage { from: 2, data: b"hi 7".to_vec() })));
     assert_eq!(records.next(), Some(Record::Killed));
     assert!(matches!(records.next(), Some(Record::Event(Event::List { kind: ListKind::Failed, .. }))));
-    // The directory outlives its batch, and a new one takes its place within one.
+    // A directory stays valid after its batch, and a new one replaces it within a batch.
     let later = "0b 00000001 01 02 000000000000002a 01 0a 02 00000000 01 02 000000000000002b 01";
     let batch = decoder.decode(&frame(4, later)).unwrap();
     let length = |(_, record): &(u32, Record)| match record {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_page_shows_them() {
+fn actions_are_encoded_as_the_protocol_specifies() {
     let mut reply = Reply::default();
     let call = CallId(0x5d3a_91c4);
     let server = ServerId { address: 0x0a12_4a07, port: 7003 };
@@ -132,25 +132,25 @@
 }
 
 #[test]
-fn malformed_frames_get_a_sentence_with_record_and_position() {
-    let error = fails(1, "63");
+fn errors_of_malformed_frames_name_record_and_position() {
+    let error = decode_error(1, "63");
     assert_eq!((error.record, error.position), (Some(0), 16));
     assert_eq!(error.to_string(), "record 0 at byte 16: no event has the code 99");
-    assert_eq!(fails(2, "0b 00000001 05 0e6f").record, Some(1)); // truncated field
-    assert!(fails(1, "05 0e6f2b19").what.contains("TO")); // no instance named
-    assert!(fails(1, "0b 00000001 00").what.contains("left")); // bytes left over
-    assert!(fails(9, "0b 00000001").what.contains("past the end")); // count too high
-    assert!(fails(1, "0a 00 ffffffff 0000").what.contains("members")); // a count that runs over
-    assert!(fails(1, "0a 10 00000000").what.contains("16")); // no such list
-    assert!(fails(2, "0b 00000001 01 07 0000000000000029 01").what.contains("list 7")); // never given
-    assert!(fails(2, "0b 00000001 00 0000000000000001 ffffffff 7b7d").what.contains("params"));
+    assert_eq!(decode_error(2, "0b 00000001 05 0e6f").record, Some(1)); // truncated field
+    assert!(decode_error(1, "05 0e6f2b19").reason.contains("TO")); // no instance named
+    assert!(decode_error(1, "0b 00000001 00").reason.contains("left")); // bytes left over
+    assert!(decode_error(9, "0b 00000001").reason.contains("past the end")); // count too high
+    assert!(decode_error(1, "0a 00 ffffffff 0000").reason.contains("members")); // a count that runs over
+    assert!(decode_error(1, "0a 10 00000000").reason.contains("16")); // no such list
+    assert!(decode_error(2, "0b 00000001 01 07 0000000000000029 01").reason.contains("list 7")); // never given
+    assert!(decode_error(2, "0b 00000001 00 0000000000000001 ffffffff 7b7d").reason.contains("params"));
     let mut wrong = frame(0, "");
     wrong[11] = 9;
     assert!(Decoder::default().decode(&wrong).is_err());
 }
 
 #[test]
-fn frames_are_read_whole_or_not_at_all() {
+fn truncated_frames_are_errors() {
     let good = frame(1, "0b 00000001");
     let mut two = good.clone();
     two.extend(&good);
@@ -161,7 +161,7 @@
     for cut in 1..good.len() {
         assert!(read_frame(&mut &good[..cut]).is_err(), "cut at {cut}");
     }
-    // A length of four gigabytes is not believed.
+    // An announced length of 4 GiB is rejected.
     let mut huge = good.clone();
     huge[8..12].copy_from_slice(&[0xff; 4]);
     assert!(read_frame(&mut huge.as_slice()).is_err());
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_passed_over() {
+fn settings_are_parsed_and_unknown_keys_ignored() {
     let settings = parse_settings(SETTINGS.as_bytes()).unwrap();
     assert_eq!((settings.controllers, settings.max_attempts), (3, 5));
     assert_eq!((settings.resend_delay, settings.tick), (Span::from_millis(500), Span::from_millis(5)));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_read_name_the_key() {
+fn errors_of_invalid_settings_name_the_key() {
     let wrong = |from: &str, to: &str| parse_settings(SETTINGS.replace(from, to).as_bytes()).unwrap_err();
     assert!(wrong("\"max-attempts\": 5", "\"max-attempts\": \"many\"").contains("bounds.max-attempts"));
     assert!(wrong("\"cold-share\": 0.28, ", "").contains("cold-share"));
