--- a/src/bin/lockpoint-drill.rs
+++ b/src/bin/lockpoint-drill.rs
@@ -1,5 +1,5 @@
-//! Runs controllers for the simulator over its binary protocol on stdin and stdout: one per instance, with no shared
-//! state.
+//! Runs controllers for the simulator over its binary protocol on stdin and stdout: one per instance, with no
+//! shared state.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,9 +1,9 @@
 //! Input and output types of the decision module: settings, events, actions, ids and time.
 //!
 //! The host program passes each [`Event`] with the current [`Time`] to `Controller::handle` and executes the
-//! returned [`Action`]s in order, at that same time. Events must be passed in the order in which they happened.
-//! The clock may stand still; a clock that steps back is treated as standing still. Events for a call, attempt,
-//! server or timer token that the controller does not know, or no longer knows, are ignored.
+//! returned [`Action`]s in order, at that same time. Events must be passed in the order in which they
+//! happened. The clock may stand still; a clock that steps back is treated as standing still. Events for a
+//! call, attempt, server or timer token that the controller does not know, or no longer knows, are ignored.
 
 use serde::{Deserialize, Serialize};
 
@@ -106,7 +106,8 @@
     /// Any number of times.
     #[default]
     Free,
-    /// A repeat is recognised as such within [`ClassSettings::dedup_scope`] and [`ClassSettings::dedup_window`].
+    /// A repeat is recognised as such within [`ClassSettings::dedup_scope`] and
+    /// [`ClassSettings::dedup_window`].
     Guarded,
     /// At most once.
     SingleShot,
@@ -183,16 +184,16 @@
     }
 }
 
-/// Settings of a controller. Invalid values are replaced by safe ones: a share outside 0 to 1 is clamped, zero
-/// controllers and zero attempts count as one.
+/// Settings of a controller. Invalid values are replaced by safe ones: a share outside 0 to 1 is clamped,
+/// zero controllers and zero attempts count as one.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// Controllers in service, this one included.
     pub controllers: u32,
     /// Classes of calls, by index.
     pub classes: Vec<ClassSettings>,
-    /// The tenants' shares by index, in calls per second over all controllers; empty: calls beyond a tenant's share
-    /// are treated like calls within it.
+    /// The tenants' shares by index, in calls per second over all controllers; empty: calls beyond a tenant's
+    /// share are treated like calls within it.
     pub tenant_shares: Vec<f64>,
     /// Order of the values in load reports.
     pub load_fields: Vec<LoadField>,
@@ -212,8 +213,8 @@
     pub cold_share: f64,
     /// Time from the start of a call server until it is warm.
     pub warm_up: Span,
-    /// A cold call server fails if all controllers together send it more than this many times its present capacity
-    /// for [`Settings::overload_time`]; 0 or less means not set and is treated as 1.
+    /// A cold call server fails if all controllers together send it more than this many times its present
+    /// capacity for [`Settings::overload_time`]; 0 or less means not set and is treated as 1.
     pub overload_factor: f64,
     /// How long an overload lasts until a cold call server fails.
     pub overload_time: Span,
@@ -423,7 +424,8 @@
 /// An output of the controller, to be executed by the host program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a set-up. The attempt ends with [`Outcome::TimedOut`] after `timeout`, or when the caller gives up.
+    /// Send a set-up. The attempt ends with [`Outcome::TimedOut`] after `timeout`, or when the caller gives
+    /// up.
     Send {
         /// The call.
         call: CallId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,16 @@
 //! lockpoint: a session controller that sets up calls at shared call servers.
 //!
-//! The decision module, [`rules::Controller`], takes [`interface::Event`]s and returns [`interface::Action`]s. It does
-//! no I/O, reads no clock and starts no threads: the host program passes in the time and the random seed.
+//! The decision module, [`rules::Controller`], takes [`interface::Event`]s and returns
+//! [`interface::Action`]s. It does no I/O, reads no clock and starts no threads: the host program passes in
+//! the time and the random seed.
 //!
 //! ```
 //! use lockpoint::interface::*;
 //! use lockpoint::rules::Controller;
 //!
 //! let mut settings = Settings { max_attempts: 3, ..Settings::default() };
-//! settings.classes.push(ClassSettings { setup_target: Span::from_millis(1500), ..ClassSettings::default() });
+//! let class = ClassSettings { setup_target: Span::from_millis(1500), ..ClassSettings::default() };
+//! settings.classes.push(class);
 //! let mut controller = Controller::new(settings, 7);
 //! let mut actions = Vec::new();
 //!
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -1,10 +1,11 @@
 //! Accounting of the tenants' shares of the accepted calls. Which calls are refused is decided in `rules`.
 //!
-//! The settings give each tenant's share of the whole service in calls per second, but a controller receives only some of
-//! the calls and does not know what fraction. It therefore divides the calls accepted here: each accepted call adds
-//! credit to all tenants in proportion to their shares, and a call of a tenant without credit counts as beyond its share.
-//! In a shortage, when call servers accept all they can, these are the tenants that use more than their share; at other
-//! times no call is refused, so the distinction has no effect.
+//! The settings give each tenant's share of the whole service in calls per second, but a controller receives
+//! only some of the calls and does not know what fraction. It therefore divides the calls accepted here: each
+//! accepted call adds credit to all tenants in proportion to their shares, and a call of a tenant without
+//! credit counts as beyond its share. In a shortage, when call servers accept all they can, these are the
+//! tenants that use more than their share; at other times no call is refused, so the distinction has no
+//! effect.
 
 use serde::{Deserialize, Serialize};
 
@@ -35,8 +36,8 @@
 }
 
 impl TenantShares {
-    /// Accounts for these shares, given in calls per second of the whole service; a share that is negative or not finite
-    /// counts as zero. Each account starts with a credit of one call.
+    /// Accounts for these shares, given in calls per second of the whole service; a share that is negative or
+    /// not finite counts as zero. Each account starts with a credit of one call.
     pub fn new(shares: &[f64]) -> TenantShares {
         let share = |share: &f64| if share.is_finite() { share.max(0.0) } else { 0.0 };
         let all: f64 = shares.iter().map(share).sum();
@@ -62,8 +63,8 @@
         *self = next;
     }
 
-    /// Charges a new call to its tenant and returns whether it is within the tenant's share. If shares are set, a call of
-    /// a tenant without a share is not.
+    /// Charges a new call to its tenant and returns whether it is within the tenant's share. If shares are
+    /// set, a call of a tenant without a share is not.
     pub fn charge(&mut self, tenant: Option<usize>) -> bool {
         if self.accounts.is_empty() {
             return true;
@@ -75,10 +76,10 @@
         within
     }
 
-    /// The fraction to refuse of the calls within their shares, or of those beyond, if the fraction `cut` of all calls has
-    /// to be refused; calls beyond their shares are refused first. The fraction beyond is averaged over the same period
-    /// as the credits. A longer average would lag behind a burst in which all calls are beyond their shares, and twice
-    /// as many calls as necessary would be refused.
+    /// The fraction to refuse of the calls within their shares, or of those beyond, if the fraction `cut` of
+    /// all calls has to be refused; calls beyond their shares are refused first. The fraction beyond is
+    /// averaged over the same period as the credits. A longer average would lag behind a burst in which all
+    /// calls are beyond their shares, and twice as many calls as necessary would be refused.
     pub fn refused_fraction(&self, cut: f64, within: bool) -> f64 {
         match within {
             _ if self.beyond_fraction <= 0.0 || self.beyond_fraction >= 1.0 => cut,
@@ -87,9 +88,10 @@
         }
     }
 
-    /// Records an accepted call and adds credit to all tenants. `calls_per_window` is the number of calls usually accepted
-    /// in the throttle's window; a tenant's credit is capped at its fraction of that, or at one call if that is more.
-    /// The cap guards against a tenant that has been idle for long and then crowds out the others.
+    /// Records an accepted call and adds credit to all tenants. `calls_per_window` is the number of calls
+    /// usually accepted in the throttle's window; a tenant's credit is capped at its fraction of that, or at
+    /// one call if that is more. The cap guards against a tenant that has been idle for long and then crowds
+    /// out the others.
     pub fn record_accept(&mut self, calls_per_window: f64) {
         self.calls_per_window = calls_per_window;
         for account in &mut self.accounts {
@@ -103,7 +105,8 @@
 mod tests {
     use super::*;
 
-    /// Guards against calls of a tenant within its share that count as beyond it because another tenant sends too many.
+    /// Guards against calls of a tenant within its share that count as beyond it because another tenant sends
+    /// too many.
     #[test]
     fn only_calls_of_a_tenant_above_its_fraction_of_the_accepted_calls_are_beyond_its_share() {
         let mut shares = TenantShares::new(&[30.0, 10.0]);
@@ -167,7 +170,8 @@
         assert!(shares.charge(Some(1)));
     }
 
-    /// Guards against a reload that resets all credits, and against one that keeps credit under a different share.
+    /// Guards against a reload that resets all credits, and against one that keeps credit under a different
+    /// share.
     #[test]
     fn changed_settings_keep_the_credit_of_tenants_with_an_unchanged_fraction() {
         let mut shares = TenantShares::new(&[5.0, 5.0]);
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,5 +1,5 @@
-//! Helpers of the decision module: timers, a rate limit for log lines, and an estimate of the usual call rate. They
-//! read no clock: every time is passed in.
+//! Helpers of the decision module: timers, a rate limit for log lines, and an estimate of the usual call
+//! rate. They read no clock: every time is passed in.
 
 use std::collections::BTreeMap;
 
@@ -54,8 +54,8 @@
 /// Rates are averaged over at least this time: over a shorter time too few calls come for a usable estimate.
 const MIN_AVERAGING_TIME: Span = Span::from_millis(3_000);
 
-/// The usual rate of accepted set-ups per call server of mean size: the highest rate measured so far. Guards against a
-/// ramp that is derived from the few calls accepted in the middle of an outage.
+/// The usual rate of accepted set-ups per call server of mean size: the highest rate measured so far. Guards
+/// against a ramp that is derived from the few calls accepted in the middle of an outage.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct UsualRate {
     span: Span,
@@ -82,7 +82,8 @@
         first
     }
 
-    /// Records an accepted set-up. `size` is the total size of the call servers in service, in units of the mean size.
+    /// Records an accepted set-up. `size` is the total size of the call servers in service, in units of the
+    /// mean size.
     pub fn record_accept(&mut self, now: Time, size: f64) {
         self.accepts.add(now, 0, 1);
         let elapsed = self.elapsed(now);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! Codec of the simulator's binary protocol: decodes batches of events and the settings, encodes replies of actions.
+//! Codec of the simulator's binary protocol: decodes batches of events and the settings, encodes replies of
+//! actions.
 
 use std::io::{self, Read};
 
@@ -92,7 +93,8 @@
         return Err(truncated(&frame));
     }
     let length = u32::from_be_bytes([frame[8], frame[9], frame[10], frame[11]]);
-    // The length includes the record count. The buffer grows with the bytes received, not with the announced length.
+    // The length includes the record count. The buffer grows with the bytes received, not with the announced
+    // length.
     let rest = u64::from(length).checked_sub(4).ok_or_else(|| {
         io::Error::new(io::ErrorKind::InvalidData, "batch header at byte 8: the length is under 4")
     })?;
--- a/tests/pieces.rs
+++ b/tests/pieces.rs
@@ -18,8 +18,8 @@
     move |seen| seen.sid == sid && seen.what == what
 }
 
-/// Guards against parsers that take a fragment for a whole message. Bulletin, call server and caller send fragments down
-/// to one byte, with empty lines in between.
+/// Guards against parsers that take a fragment for a whole message. Bulletin, call server and caller send
+/// fragments down to one byte, with empty lines in between.
 #[rstest]
 fn all_parsers_accept_fragments_of_any_size(#[values(1, 2, 3, 7, 50)] fragment: usize) {
     on_one_thread(async {
@@ -55,8 +55,8 @@
     std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port")
 }
 
-/// Guards against a set-up that is resent too early after its connection is lost. The call server had begun to answer, so
-/// the call may have been executed and may go elsewhere only after the resend delay.
+/// Guards against a set-up that is resent too early after its connection is lost. The call server had begun
+/// to answer, so the call may have been executed and may go elsewhere only after the resend delay.
 #[rstest]
 #[case::stalls(false)]
 #[case::disconnects(true)]
@@ -83,7 +83,8 @@
     });
 }
 
-/// Guards against an incomplete message of a caller that affects its other calls, or whose connection stays open forever.
+/// Guards against an incomplete message of a caller that affects its other calls, or whose connection stays
+/// open forever.
 #[rstest]
 #[case::stalls(false)]
 #[case::disconnects(true)]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The decisions, without a bench.
+//! Tests of the decision module through its events and actions.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 use lockpoint::rules::{refusal_probability, Controller};
 use proptest::prelude::*;
 
-const AIM: Span = Span::from_millis(1500);
-const RELEASE: Span = Span::from_millis(500);
+const TARGET: Span = Span::from_millis(1500);
+const RESEND_DELAY: Span = Span::from_millis(500);
 const TICK: Span = Span::from_millis(5);
 const START: Time = Time(1_000_000_000);
 
 fn settings() -> Settings {
     let class =
-        |worth| ClassSettings { setup_target: AIM, worth, late_worth: 0.1, ..ClassSettings::default() };
+        |worth| ClassSettings { setup_target: TARGET, worth, late_worth: 0.1, ..ClassSettings::default() };
     Settings {
         controllers: 8,
         classes: vec![class(1.0), class(3.0)],
@@ -22,7 +22,7 @@
         may_cancel: true,
         may_send_retry_after: true,
         max_retry_after: Span::from_millis(2000),
-        resend_delay: RELEASE,
+        resend_delay: RESEND_DELAY,
         cold_share: 0.3,
         warm_up: Span::from_millis(12_000),
         overload_factor: 2.0,
@@ -40,29 +40,29 @@
     ServerEntry { server: id(n), cell: Cell(n), zone: 0, started, state }
 }
 
-/// A gateway with a clock and the actions of its last event.
+/// A controller with a clock.
 struct Bench {
-    gateway: Controller,
+    controller: Controller,
     now: Time,
     next: u32,
 }
 
 impl Bench {
     fn new(settings: Settings, servers: u16) -> Self {
-        let mut bench = Bench { gateway: Controller::new(settings, 1), now: START, next: 0 };
+        let mut bench = Bench { controller: Controller::new(settings, 1), now: START, next: 0 };
         let entries = (1..=servers).map(|n| entry(n, ServerState::Ready, Time(0))).collect();
         bench.event(Event::List { kind: ListKind::Full, entries });
         bench
     }
     fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
+        self.controller.handle(self.now, event, &mut actions);
         actions
     }
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now.plus(Span::from_millis(ms));
     }
-    fn list(&mut self, entry: ServerEntry) -> Vec<Action> {
+    fn list_update(&mut self, entry: ServerEntry) -> Vec<Action> {
         self.event(Event::List { kind: ListKind::Delta, entries: vec![entry] })
     }
     fn call_with(&mut self, first: u16, change: impl FnOnce(&mut NewCall)) -> (CallId, Vec<Action>) {
@@ -83,11 +83,11 @@
     fn call(&mut self, first: u16) -> (CallId, Vec<Action>) {
         self.call_with(first, |_| {})
     }
-    fn stands(&mut self, call: CallId, attempt: u16, server: u16, ms: u64) -> Vec<Action> {
+    fn established(&mut self, call: CallId, attempt: u16, server: u16, ms: u64) -> Vec<Action> {
         let took = Span::from_millis(ms);
         self.event(Event::Established { call, attempt: Attempt(attempt), server: id(server), took })
     }
-    fn ends(
+    fn ended(
         &mut self,
         call: CallId,
         attempt: u16,
@@ -106,12 +106,12 @@
             load: LoadReport::default(),
         }))
     }
-    /// A call that server `n` takes within `ms`.
-    fn easy_call(&mut self, n: u16, ms: u64) {
+    /// A call with first choice `n` that is established after `ms`.
+    fn successful_call(&mut self, n: u16, ms: u64) {
         let (call, actions) = self.call(n);
         if let Some(to) = sent_to(&actions) {
-            self.pass(ms);
-            self.stands(call, 0, to, ms);
+            self.advance(ms);
+            self.established(call, 0, to, ms);
         }
     }
 }
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn the_module_stays_small_and_its_lines_short() {
+fn the_module_is_within_its_size_limits() {
     let text = include_str!("../src/rules.rs");
     assert!(text.lines().filter(|l| !l.trim().is_empty()).count() <= 950);
     assert!(text.lines().all(|l| l.chars().count() <= 110));
 }
 
 #[test]
-fn the_formula_at_its_edges() {
+fn refusal_probability_at_edge_values() {
     assert_eq!(refusal_probability(0.0, 0.0), 0.0);
     assert_eq!(refusal_probability(10.0, 10.0), 0.0);
     assert!((refusal_probability(1.0, 0.0) - 0.5).abs() < 1e-9);
@@ -152,293 +152,294 @@
 }
 
 #[test]
-fn a_full_server_diverts_before_anything_is_refused_and_the_taker_is_kept() {
+fn calls_to_a_full_server_are_diverted_to_the_server_that_last_took_one() {
     let mut bench = Bench::new(settings(), 3);
     let (call, actions) = bench.call(1);
     assert_eq!(sent_to(&actions), Some(1));
-    let actions = bench.ends(call, 0, 1, Outcome::Full, Cause::ProcessorFull);
+    let actions = bench.ended(call, 0, 1, Outcome::Full, Cause::ProcessorFull);
     let taker = sent_to(&actions).expect("diverted at once");
     assert_ne!(taker, 1);
-    bench.stands(call, 1, taker, 50);
+    bench.established(call, 1, taker, 50);
     for _ in 0..6 {
         let (call, actions) = bench.call(1);
         if sent_to(&actions) == Some(1) {
-            let actions = bench.ends(call, 0, 1, Outcome::Full, Cause::ProcessorFull);
+            let actions = bench.ended(call, 0, 1, Outcome::Full, Cause::ProcessorFull);
             assert_eq!(sent_to(&actions), Some(taker));
-            bench.stands(call, 1, taker, 50);
+            bench.established(call, 1, taker, 50);
         } else {
             assert_eq!(sent_to(&actions), Some(taker));
-            bench.stands(call, 0, taker, 50);
+            bench.established(call, 0, taker, 50);
         }
     }
-    // The kept one answers full: another is drawn.
+    // That server becomes full: another one is chosen.
     let (call, actions) = bench.call(taker);
     assert_eq!(sent_to(&actions), Some(taker));
-    let actions = bench.ends(call, 0, taker, Outcome::Full, Cause::ProcessorFull);
+    let actions = bench.ended(call, 0, taker, Outcome::Full, Cause::ProcessorFull);
     assert_ne!(sent_to(&actions), Some(taker));
 }
 
 #[test]
-fn where_all_are_full_calls_do_not_try_every_server() {
+fn calls_do_not_try_every_server_if_all_are_full() {
     let attempts = |full: &[u16]| {
         let mut bench = Bench::new(Settings { max_attempts: 5, ..settings() }, 5);
-        let (mut sends, mut stood) = (0, 0);
+        let (mut sends, mut established) = (0, 0);
         for _ in 0..200 {
             let (call, mut actions) = bench.call(1);
-            bench.pass(50);
+            bench.advance(50);
             let mut attempt = 0;
             while let Some(to) = sent_to(&actions) {
                 sends += 1;
                 if full.contains(&to) {
-                    actions = bench.ends(call, attempt, to, Outcome::Full, Cause::NoCircuit);
+                    actions = bench.ended(call, attempt, to, Outcome::Full, Cause::NoCircuit);
                     attempt += 1;
                 } else {
-                    bench.stands(call, attempt, to, 40);
-                    stood += 1;
+                    bench.established(call, attempt, to, 40);
+                    established += 1;
                     break;
                 }
             }
         }
-        (sends, stood)
+        (sends, established)
     };
     let (sends, _) = attempts(&[1, 2, 3, 4, 5]);
-    assert!(sends < 105, "{sends} sends of 200 calls that none can take");
-    let (_, stood) = attempts(&[1, 2, 3]);
-    assert!(stood > 180, "{stood} of 200 stand where two servers have room");
+    assert!(sends < 105, "{sends} sends for 200 calls that no server can take");
+    let (_, established) = attempts(&[1, 2, 3]);
+    assert!(established > 180, "{established} of 200 calls established with two free servers");
 }
 
 #[test]
-fn long_waits_press_although_every_call_is_accepted() {
+fn long_waits_lead_to_refusals_although_every_call_is_accepted() {
     let mut bench = Bench::new(settings(), 1);
     let mut turned_away = 0;
     for _ in 0..30 {
         let (call, actions) = bench.call(1);
         turned_away += u32::from(refused(&actions));
-        bench.pass(100);
+        bench.advance(100);
         if sent_to(&actions).is_some() {
-            bench.stands(call, 0, 1, 1400);
+            bench.established(call, 0, 1, 1400);
         }
     }
     assert!(turned_away > 10, "{turned_away} of 30");
 }
 
 #[test]
-fn the_least_worth_is_cut_first() {
+fn calls_of_lowest_worth_are_refused_first() {
     let mut bench = Bench::new(settings(), 1);
-    let mut cut = [0, 0];
+    let mut refusals = [0, 0];
     for n in 0..200 {
         let class = n % 2;
         let (call, actions) = bench.call_with(1, |c| c.class = class);
-        cut[class] += i32::from(refused(&actions));
-        bench.pass(60);
+        refusals[class] += i32::from(refused(&actions));
+        bench.advance(60);
         if sent_to(&actions).is_some() {
-            bench.stands(call, 0, 1, 500);
+            bench.established(call, 0, 1, 500);
         }
     }
-    assert!(cut[0] > 10 && cut[0] > 4 * cut[1], "{cut:?}");
+    assert!(refusals[0] > 10 && refusals[0] > 4 * refusals[1], "{refusals:?}");
 }
 
 #[test]
-fn a_drained_server_gets_nothing_from_the_moment_it_is_told() {
+fn a_draining_server_gets_no_calls_from_the_list_update_on() {
     let mut bench = Bench::new(settings(), 2);
-    bench.list(entry(1, ServerState::Draining, Time(0)));
+    bench.list_update(entry(1, ServerState::Draining, Time(0)));
     for _ in 0..20 {
         let (call, actions) = bench.call(1);
         assert_eq!(sent_to(&actions), Some(2));
-        bench.stands(call, 0, 2, 40);
+        bench.established(call, 0, 2, 40);
     }
 }
 
 #[test]
-fn a_cold_server_is_ramped() {
+fn calls_to_a_cold_server_are_ramped_up() {
     let mut bench = Bench::new(settings(), 2);
     for _ in 0..40 {
-        bench.easy_call(1, 50);
-        bench.easy_call(2, 50);
+        bench.successful_call(1, 50);
+        bench.successful_call(2, 50);
     }
     let start = bench.now;
-    bench.list(entry(1, ServerState::Ready, start));
+    bench.list_update(entry(1, ServerState::Ready, start));
     let mut sent = 0;
     for _ in 0..40 {
         let (call, actions) = bench.call(1);
-        bench.pass(50);
+        bench.advance(50);
         let to = sent_to(&actions).expect("the other takes it");
         sent += u32::from(to == 1);
-        bench.stands(call, 0, to, 40);
+        bench.established(call, 0, to, 40);
     }
-    // Two seconds at about ten calls a second each, from a share of 0.3.
+    // Two seconds at about ten calls per second each, from a cold share of 0.3.
     assert!((2..=16).contains(&sent), "{sent}");
 }
 
 #[test]
-fn a_cold_server_that_stands_alone_gets_its_usual_share() {
+fn a_cold_server_without_alternatives_gets_its_usual_share() {
     let mut bench = Bench::new(settings(), 1);
     for _ in 0..200 {
-        bench.easy_call(1, 50);
+        bench.successful_call(1, 50);
     }
-    // Gone for long enough that the counts are empty, then back, cold and alone.
-    bench.list(entry(1, ServerState::Gone, Time(0)));
-    bench.pass(15_000);
+    // Away for long enough that the counts are empty, then back as the only server, cold.
+    bench.list_update(entry(1, ServerState::Gone, Time(0)));
+    bench.advance(15_000);
     let start = bench.now;
-    bench.list(entry(1, ServerState::Ready, start));
+    bench.list_update(entry(1, ServerState::Ready, start));
     let mut sent = 0;
     for _ in 0..100 {
         let (call, actions) = bench.call(1);
-        bench.pass(50);
+        bench.advance(50);
         if sent_to(&actions).is_some() {
             sent += 1;
-            bench.stands(call, 0, 1, 50);
+            bench.established(call, 0, 1, 50);
         }
     }
-    // Five seconds at the cold share and more of twenty a second.
+    // Five seconds at the cold share or more of twenty calls per second.
     assert!((20..=70).contains(&sent), "{sent}");
 }
 
 #[test]
-fn a_set_up_that_later_ones_overtook_neither_presses_nor_stays() {
+fn an_overtaken_set_up_does_not_count_as_wait_and_is_cancelled() {
     let mut bench = Bench::new(settings(), 2);
     let (lost, actions) = bench.call(1);
     let review = timers(&actions).into_iter().min().expect("a review");
     for _ in 0..20 {
-        bench.pass(20);
-        bench.easy_call(1, 20);
+        bench.advance(20);
+        bench.successful_call(1, 20);
     }
     let (call, actions) = bench.call(1);
-    assert_eq!(sent_to(&actions), Some(1), "its age is not the server's wait");
-    bench.stands(call, 0, 1, 10);
-    bench.pass(review.0 .0 / 1000);
+    assert_eq!(sent_to(&actions), Some(1), "the age of the lost set-up does not count as the server's wait");
+    bench.established(call, 0, 1, 10);
+    bench.advance(review.0 .0 / 1000);
     let actions = bench.event(Event::Timer(review.1));
     assert!(actions.contains(&Action::Cancel { call: lost, attempt: Attempt(0) }));
 }
 
 #[test]
-fn a_cold_server_gets_its_share_by_its_lines() {
-    let taken = |lines: f32| {
+fn the_share_of_a_cold_server_depends_on_its_lines() {
+    let sent_to_cold = |lines: f32| {
         let mut bench = Bench::new(settings(), 3);
         for (n, lines) in [(1, lines), (2, 300.0), (3, 300.0)] {
             let load = LoadReport(vec![10.0, lines, -1.0]);
             bench.event(Event::Load { server: id(n), outcome: Outcome::Ok, load });
         }
         for _ in 0..100 {
-            bench.easy_call(2, 25);
-            bench.easy_call(3, 25);
+            bench.successful_call(2, 25);
+            bench.successful_call(3, 25);
         }
         let start = bench.now;
-        bench.list(entry(1, ServerState::Ready, start));
+        bench.list_update(entry(1, ServerState::Ready, start));
         let load = LoadReport(vec![10.0, lines, -1.0]);
         bench.event(Event::Load { server: id(1), outcome: Outcome::Ok, load });
         let mut sent = 0;
         for _ in 0..100 {
             let (call, actions) = bench.call(1);
-            bench.pass(30);
+            bench.advance(30);
             let to = sent_to(&actions).expect("some server takes it");
             sent += u32::from(to == 1);
-            bench.stands(call, 0, to, 30);
+            bench.established(call, 0, to, 30);
         }
         sent
     };
-    let (small, large) = (taken(100.0), taken(700.0));
+    let (small, large) = (sent_to_cold(100.0), sent_to_cold(700.0));
     assert!(small >= 2 && large > 2 * small, "{small} and {large}");
 }
 
 #[test]
-fn the_ramp_of_a_cold_server_lets_the_worthier_through_first() {
+fn the_ramp_of_a_cold_server_prefers_calls_of_higher_worth() {
     let mut bench = Bench::new(settings(), 1);
     for n in 0..200 {
         let (call, _) = bench.call_with(1, |c| c.class = n % 2);
-        bench.pass(50);
-        bench.stands(call, 0, 1, 50);
+        bench.advance(50);
+        bench.established(call, 0, 1, 50);
     }
     let start = bench.now;
-    bench.list(entry(1, ServerState::Ready, start));
+    bench.list_update(entry(1, ServerState::Ready, start));
     let mut sent = [0, 0];
     for n in 0..100 {
         let class = n % 2;
         let (call, actions) = bench.call_with(1, |c| c.class = class);
-        bench.pass(50);
+        bench.advance(50);
         if sent_to(&actions).is_some() {
             sent[class] += 1;
-            bench.stands(call, 0, 1, 50);
+            bench.established(call, 0, 1, 50);
         }
     }
     assert!(sent[1] > 2 * sent[0], "{sent:?}");
 }
 
 #[test]
-fn the_release_is_waited_out_and_then_the_call_is_diverted() {
+fn a_call_is_diverted_after_the_resend_delay() {
     let mut bench = Bench::new(settings(), 2);
     for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
         let (call, actions) = bench.call(1);
         let first = sent_to(&actions).expect("sent");
-        let actions = bench.ends(call, 0, first, outcome, Cause::None);
+        let actions = bench.ended(call, 0, first, outcome, Cause::None);
         assert_eq!(sent_to(&actions), None);
         let (after, token) = timers(&actions)[0];
-        assert!(after >= RELEASE);
+        assert!(after >= RESEND_DELAY);
         bench.now = bench.now.plus(after);
         let actions = bench.event(Event::Timer(token));
         let second = sent_to(&actions).expect("sent again");
         assert_ne!(second, first);
-        bench.stands(call, 1, second, 40);
-        bench.pass(60_000);
+        bench.established(call, 1, second, 40);
+        bench.advance(60_000);
     }
 }
 
 #[test]
-fn a_silent_server_loses_its_calls_in_time_and_is_tested_by_a_few() {
+fn calls_at_a_silent_server_are_cancelled_and_few_test_calls_are_sent() {
     let mut bench = Bench::new(settings(), 2);
-    bench.easy_call(2, 40);
+    bench.successful_call(2, 40);
     let (call, actions) = bench.call(1);
     let review = timers(&actions).into_iter().map(|(after, _)| after).min().expect("a review");
-    assert!(review < AIM.saturating_sub(RELEASE));
+    assert!(review < TARGET.saturating_sub(RESEND_DELAY));
     bench.now = bench.now.plus(review);
     let fired = timers(&actions).into_iter().min().expect("a review").1;
     let actions = bench.event(Event::Timer(fired));
     assert!(actions.contains(&Action::Cancel { call, attempt: Attempt(0) }));
-    bench.ends(call, 0, 1, Outcome::Cancelled, Cause::None);
+    bench.ended(call, 0, 1, Outcome::Cancelled, Cause::None);
     let mut tests = 0;
     for _ in 0..400 {
         let (call, actions) = bench.call(1);
-        bench.pass(50);
+        bench.advance(50);
         match sent_to(&actions) {
-            Some(2) => drop(bench.stands(call, 0, 2, 40)),
+            Some(2) => drop(bench.established(call, 0, 2, 40)),
             to => {
                 tests += u32::from(to == Some(1));
-                bench.ends(call, 0, 1, Outcome::TimedOut, Cause::None);
+                bench.ended(call, 0, 1, Outcome::TimedOut, Cause::None);
             }
         }
     }
-    // A quarter of the ten calls a second that a server usually gets, over twenty seconds.
+    // A quarter of the ten calls per second that a server usually gets, over twenty seconds.
     assert!((4..=70).contains(&tests), "{tests}");
 }
 
-/// Servers that report nothing of their processors: what looks silent may be a queue.
-fn blind() -> Settings {
+/// Settings for servers that report nothing about their processors: apparent silence may be a queue.
+fn without_processor_reports() -> Settings {
     Settings { load_fields: vec![LoadField::Idle, LoadField::Circuits], ..settings() }
 }
 
-/// Guards against calls withdrawn from a server that is only slow, and reports nothing that would tell so: what it had
-/// begun is wasted there, and the others are jammed by what is diverted.
+/// Guards against calls cancelled at a server that is merely slow and does not report its queue: the work
+/// already done there is wasted, and the diverted calls congest the other servers.
 #[test]
-fn a_slow_server_that_reports_nothing_is_not_taken_for_silent_at_once() {
-    let avoided = |settings: Settings, ms| {
+fn a_slow_server_without_reports_gets_a_longer_silence_timeout() {
+    let unavailable = |settings: Settings, ms| {
         let mut bench = Bench::new(settings, 2);
         bench.call(1);
-        bench.pass(ms);
-        bench.gateway.unavailable_servers(bench.now)
+        bench.advance(ms);
+        bench.controller.unavailable_servers(bench.now)
     };
-    assert_eq!([avoided(settings(), 560), avoided(blind(), 560)], [1, 0]);
-    assert_eq!([avoided(settings(), 760), avoided(blind(), 760)], [1, 1]);
-    // Where a rest as long as the aim leaves no time to wait, it is as where servers report.
-    let long = Settings { resend_delay: AIM, ..blind() };
-    assert_eq!([avoided(long.clone(), 520), avoided(long, 560)], [0, 1]);
+    assert_eq!([unavailable(settings(), 560), unavailable(without_processor_reports(), 560)], [1, 0]);
+    assert_eq!([unavailable(settings(), 760), unavailable(without_processor_reports(), 760)], [1, 1]);
+    // A resend delay as long as the target leaves no time to wait: the timeout is the same as with reports.
+    let long = Settings { resend_delay: TARGET, ..without_processor_reports() };
+    assert_eq!([unavailable(long.clone(), 520), unavailable(long, 560)], [0, 1]);
 }
 
-/// A hung server takes set-ups and answers none; where it reports nothing, its calls still stand elsewhere in their aim.
+/// A hung server takes set-ups and answers none. Guards against a silence timeout, without processor reports,
+/// that is too long for its calls to be established elsewhere within the target.
 #[test]
-fn the_calls_at_a_hung_server_that_reports_nothing_stand_elsewhere_in_their_aim() {
-    let mut bench = Bench::new(blind(), 2);
-    // It was well and quick a moment ago.
-    bench.easy_call(1, 40);
+fn calls_at_a_hung_server_without_reports_are_established_elsewhere_within_the_target() {
+    let mut bench = Bench::new(without_processor_reports(), 2);
+    // It answered quickly just before.
+    bench.successful_call(1, 40);
     let came = bench.now;
     let (call, actions) = bench.call(1);
     assert_eq!(sent_to(&actions), Some(1));
@@ -446,24 +447,25 @@
     bench.now = came.plus(review);
     let actions = bench.event(Event::Timer(token));
     assert!(actions.contains(&Action::Cancel { call, attempt: Attempt(0) }), "{actions:?}");
-    let (rest, token) = timers(&bench.ends(call, 0, 1, Outcome::Cancelled, Cause::None))[0];
-    bench.now = bench.now.plus(rest);
+    let (delay, token) = timers(&bench.ended(call, 0, 1, Outcome::Cancelled, Cause::None))[0];
+    bench.now = bench.now.plus(delay);
     assert_eq!(sent_to(&bench.event(Event::Timer(token))), Some(2));
-    assert!(bench.now.since(came) < AIM, "{:?}", bench.now.since(came));
+    assert!(bench.now.since(came) < TARGET, "{:?}", bench.now.since(came));
 }
 
-/// Guards against a tenant within its share that is cut for what another sends beyond its own. The worthier class goes
-/// first all the same: of which calls the operators count as beyond a share nothing is known here.
+/// Guards against refusing calls of a tenant within its share because another tenant exceeds its own. The
+/// class of higher worth still has precedence: the controller cannot know which calls the operators count as
+/// beyond a share.
 #[test]
-fn in_a_shortage_the_least_worth_is_cut_first_and_of_one_worth_who_is_beyond_its_share() {
+fn in_a_shortage_calls_of_lowest_worth_are_refused_first_and_among_these_calls_beyond_a_share() {
     let mut bench = Bench::new(Settings { tenant_shares: vec![10.0, 10.0], ..settings() }, 1);
     let mut lottery = 99u64;
     let mut one_in_four = || {
         lottery = lottery.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         usize::from((lottery >> 33).is_multiple_of(4))
     };
-    // Of both classes; the first tenant sends three times what the second does, 50 calls a second together. The server
-    // works each for 30 ms, one after the other.
+    // Calls of both classes; the first tenant sends three times as many as the second, 50 calls per second
+    // together. The server processes them one by one for 30 ms each.
     let (mut came, mut cut) = ([[0, 0], [0, 0]], [[0.0, 0.0], [0.0, 0.0]]);
     let mut queue = Span::default();
     for _ in 0..4_000 {
@@ -473,10 +475,10 @@
         cut[tenant][class] += f64::from(u8::from(refused(&actions)));
         if sent_to(&actions).is_some() {
             queue = Span(queue.0 + 30_000);
-            bench.stands(call, 0, 1, queue.0 / 1_000);
+            bench.established(call, 0, 1, queue.0 / 1_000);
         }
         queue = queue.saturating_sub(Span::from_millis(20));
-        bench.pass(20);
+        bench.advance(20);
     }
     for (tenant, class) in [(0, 0), (0, 1), (1, 0), (1, 1)] {
         cut[tenant][class] /= f64::from(came[tenant][class]);
@@ -486,125 +488,129 @@
     assert!(beyond_worthy < within.max(0.05) && within_worthy < within.max(0.05), "{cut:?}");
 }
 
-/// Most controllers are restarted in one spell and come back with nothing but their last list: they serve at once, all at
-/// all servers of it, and what it names wrongly costs one attempt.
+/// When most controllers restart at about the same time, each has nothing but its cached list. Guards against
+/// a controller that does not serve at once, uses only some of the listed servers, or loses more than one
+/// attempt to an outdated entry.
 #[test]
-fn a_controller_that_comes_back_with_its_last_list_alone_serves_at_once() {
-    let mut bench = Bench { gateway: Controller::new(blind(), 7), now: START, next: 0 };
+fn a_restarted_controller_serves_at_once_from_its_cached_list() {
+    let mut bench =
+        Bench { controller: Controller::new(without_processor_reports(), 7), now: START, next: 0 };
     let entries = (1..=3).map(|n| entry(n, ServerState::Ready, Time(0))).collect();
     bench.event(Event::List { kind: ListKind::Cached, entries });
-    let mut stood = BTreeMap::new();
+    let mut established = BTreeMap::new();
     for n in 0..300 {
         let (call, mut actions) = bench.call(1 + (n % 3) as u16);
         let mut attempt = 0;
         while let Some(to) = sent_to(&actions) {
             if to == 3 {
-                // It left while the controller was down.
-                actions = bench.ends(call, attempt, to, Outcome::ConnectFailed, Cause::None);
+                // This server was withdrawn while the controller was down.
+                actions = bench.ended(call, attempt, to, Outcome::ConnectFailed, Cause::None);
                 attempt += 1;
                 continue;
             }
-            bench.stands(call, attempt, to, 40);
-            *stood.entry(to).or_insert(0) += 1;
+            bench.established(call, attempt, to, 40);
+            *established.entry(to).or_insert(0) += 1;
             break;
         }
-        bench.pass(30);
+        bench.advance(30);
     }
-    assert!(stood[&1] >= 95 && stood[&2] >= 95 && stood[&1] + stood[&2] > 285, "{stood:?}");
+    let (first, second) = (established[&1], established[&2]);
+    assert!(first >= 95 && second >= 95 && first + second > 285, "{established:?}");
 }
 
 #[test]
-fn a_busy_number_is_throttled_and_its_server_is_not() {
+fn a_busy_number_is_throttled_but_not_its_server() {
     let mut bench = Bench::new(settings(), 2);
     let mut turned_away = 0;
     for _ in 0..60 {
         let (call, actions) = bench.call_with(1, |c| c.number = Number(9));
-        bench.pass(50);
+        bench.advance(50);
         if sent_to(&actions).is_some() {
-            bench.ends(call, 0, 1, Outcome::Error, Cause::NumberBusy);
+            bench.ended(call, 0, 1, Outcome::Error, Cause::NumberBusy);
         } else {
             turned_away += u32::from(refused(&actions));
         }
-        bench.easy_call(1, 20);
+        bench.successful_call(1, 20);
         let (call, actions) = bench.call(1);
         assert_eq!(sent_to(&actions), Some(1));
-        bench.stands(call, 0, 1, 20);
+        bench.established(call, 0, 1, 20);
     }
     assert!(turned_away > 30, "{turned_away} of 60");
 }
 
 #[test]
-fn a_server_without_a_free_line_is_no_pressed_processor() {
+fn a_server_without_a_free_line_does_not_count_as_congested() {
     let mut bench = Bench::new(settings(), 2);
     for _ in 0..30 {
-        bench.easy_call(1, 50);
+        bench.successful_call(1, 50);
     }
     let (call, actions) = bench.call(1);
     assert_eq!(sent_to(&actions), Some(1));
-    assert_eq!(sent_to(&bench.ends(call, 0, 1, Outcome::Full, Cause::NoCircuit)), Some(2));
-    bench.stands(call, 1, 2, 30);
+    assert_eq!(sent_to(&bench.ended(call, 0, 1, Outcome::Full, Cause::NoCircuit)), Some(2));
+    bench.established(call, 1, 2, 30);
     for _ in 0..10 {
         let (call, actions) = bench.call(1);
         assert_eq!(sent_to(&actions), Some(1));
-        bench.pass(50);
-        bench.stands(call, 0, 1, 50);
+        bench.advance(50);
+        bench.established(call, 0, 1, 50);
     }
 }
 
 #[test]
-fn a_reported_queue_presses_and_an_empty_one_clears() {
-    let told = Settings { load_fields: vec![LoadField::Share, LoadField::Pending], ..settings() };
-    let mut bench = Bench::new(told, 2);
+fn a_reported_queue_counts_as_wait_and_an_empty_queue_resets_it() {
+    let with_queue = Settings { load_fields: vec![LoadField::Share, LoadField::Pending], ..settings() };
+    let mut bench = Bench::new(with_queue, 2);
     for _ in 0..100 {
-        bench.easy_call(1, 20);
-        bench.easy_call(2, 20);
+        bench.successful_call(1, 20);
+        bench.successful_call(2, 20);
     }
     let report = |bench: &mut Bench, queue: f32| {
         let load = LoadReport(vec![0.9, queue]);
         bench.event(Event::Load { server: id(1), outcome: Outcome::Ok, load });
         let (call, actions) = bench.call(1);
         let to = sent_to(&actions).expect("one of the two takes it");
-        bench.pass(5);
+        bench.advance(5);
         bench.event(Event::HungUp(call));
         to
     };
-    // Some 25 calls a second a server, by 8 gateways: a queue of 400 is two seconds.
+    // About 25 calls per second and server from each of 8 controllers: a queue of 400 means a wait of two
+    // seconds.
     assert_eq!(report(&mut bench, 400.0), 2);
     for odd in [-1.0, f32::NAN, f32::NEG_INFINITY] {
-        assert_eq!(report(&mut bench, odd), 2, "what says nothing changes nothing: {odd}");
+        assert_eq!(report(&mut bench, odd), 2, "an invalid value has no effect: {odd}");
     }
     assert_eq!(report(&mut bench, 0.0), 1);
-    // A shorter queue does not hide a wait that was seen.
+    // A shorter queue does not override an observed wait.
     let (call, _) = bench.call(1);
-    bench.pass(1400);
-    bench.stands(call, 0, 1, 1400);
+    bench.advance(1400);
+    bench.established(call, 0, 1, 1400);
     assert_eq!(report(&mut bench, 3.0), 2);
 }
 
 #[test]
-fn one_of_many_gateways_remembers_a_jam_and_one_of_few_does_not() {
-    let sent_there = |gateways: u32| {
-        let mut bench = Bench::new(Settings { controllers: gateways, ..settings() }, 2);
+fn a_wait_is_remembered_longer_in_a_large_fleet() {
+    let sent_there = |controllers: u32| {
+        let mut bench = Bench::new(Settings { controllers, ..settings() }, 2);
         // A call to each server every four seconds.
         for _ in 0..10 {
-            bench.easy_call(1, 50);
-            bench.easy_call(2, 50);
-            bench.pass(3900);
+            bench.successful_call(1, 50);
+            bench.successful_call(2, 50);
+            bench.advance(3900);
         }
         let (call, _) = bench.call(1);
-        bench.pass(1200);
-        bench.stands(call, 0, 1, 1200);
-        bench.pass(4000);
+        bench.advance(1200);
+        bench.established(call, 0, 1, 1200);
+        bench.advance(4000);
         (0..20).filter(|_| sent_to(&bench.call(1).1) == Some(1)).count()
     };
-    // The one that looks whether the jam has passed.
+    // The only call sent is the test call.
     assert!(sent_there(250) <= 1, "{}", sent_there(250));
     assert!(sent_there(4) > 2, "{}", sent_there(4));
 }
 
-/// Servers told to have so many lines, by number from 1 on.
-fn with_lines(gateways: u32, lines: &[f32]) -> Bench {
-    let mut bench = Bench::new(Settings { controllers: gateways, ..settings() }, lines.len() as u16);
+/// A bench with servers, numbered from 1, that have reported these numbers of lines.
+fn with_lines(controllers: u32, lines: &[f32]) -> Bench {
+    let mut bench = Bench::new(Settings { controllers, ..settings() }, lines.len() as u16);
     for (n, &lines) in (1..).zip(lines) {
         let load = LoadReport(vec![lines, lines, -1.0]);
         bench.event(Event::Load { server: id(n), outcome: Outcome::Ok, load });
@@ -613,7 +619,7 @@
 }
 
 #[test]
-fn a_silent_server_is_tested_by_its_size() {
+fn test_calls_to_a_silent_server_are_proportional_to_its_size() {
     let tests = |lines: &[f32]| {
         let mut bench = with_lines(8, lines);
         let mut tested = 0;
@@ -621,9 +627,9 @@
             let (call, actions) = bench.call(1);
             if sent_to(&actions) == Some(1) {
                 tested += 1;
-                bench.ends(call, 0, 1, Outcome::ConnectFailed, Cause::None);
+                bench.ended(call, 0, 1, Outcome::ConnectFailed, Cause::None);
             }
-            bench.pass(100);
+            bench.advance(100);
         }
         tested
     };
@@ -632,83 +638,83 @@
 }
 
 #[test]
-fn where_servers_are_silent_one_of_many_gateways_diverts_by_rights_alone() {
-    let diverted = |gateways: u32, silent: bool| {
-        let mut bench = with_lines(gateways, &[500.0, 500.0, 100.0, 400.0]);
+fn diversions_need_permits_in_a_large_fleet_with_silent_servers() {
+    let diverted = |controllers: u32, silent: bool| {
+        let mut bench = with_lines(controllers, &[500.0, 500.0, 100.0, 400.0]);
         for _ in 0..40 {
-            (1..=4).for_each(|n| bench.easy_call(n, 50));
-            bench.pass(800);
+            (1..=4).for_each(|n| bench.successful_call(n, 50));
+            bench.advance(800);
         }
         if silent {
             let (call, _) = bench.call(4);
-            bench.ends(call, 0, 4, Outcome::ConnectFailed, Cause::None);
+            bench.ended(call, 0, 4, Outcome::ConnectFailed, Cause::None);
         }
-        bench.list(entry(1, ServerState::Draining, Time(0)));
-        bench.list(entry(2, ServerState::Draining, Time(0)));
-        // A burst of a second, all for one that drains.
+        bench.list_update(entry(1, ServerState::Draining, Time(0)));
+        bench.list_update(entry(2, ServerState::Draining, Time(0)));
+        // A burst of one second, all calls to a draining server.
         let mut sent = 0;
         for _ in 0..150 {
             let (call, actions) = bench.call(1);
-            bench.pass(6);
+            bench.advance(6);
             if let Some(to) = sent_to(&actions) {
                 sent += 1;
-                bench.stands(call, 0, to, 6);
+                bench.established(call, 0, to, 6);
             }
         }
         sent
     };
-    // Eight times its share, by size, of the one call a second that a server usually gets.
+    // Eight times the usual one call per second and server, by size.
     let bound = diverted(250, true);
     assert!((1..30).contains(&bound), "{bound}");
-    assert_eq!(diverted(250, false), 150, "all answer");
-    assert_eq!(diverted(4, true), 150, "few gateways see for themselves");
+    assert_eq!(diverted(250, false), 150, "all servers respond");
+    assert_eq!(diverted(4, true), 150, "a small fleet does not need permits for diversions");
 }
 
 #[test]
-fn one_of_many_gateways_looks_whether_a_wait_has_passed() {
+fn a_single_test_call_checks_whether_a_wait_has_passed() {
     let mut bench = Bench::new(Settings { controllers: 250, ..settings() }, 1);
     for _ in 0..10 {
-        bench.easy_call(1, 50);
-        bench.pass(3900);
+        bench.successful_call(1, 50);
+        bench.advance(3900);
     }
     let (call, _) = bench.call(1);
-    bench.pass(1200);
-    bench.stands(call, 0, 1, 1200);
-    // The wait holds for longer than this; one call alone goes out to look, then all do.
-    bench.pass(9_000);
-    let (look, actions) = bench.call(1);
+    bench.advance(1200);
+    bench.established(call, 0, 1, 1200);
+    // The wait is held for longer than this: a single test call is sent, and after its answer all calls.
+    bench.advance(9_000);
+    let (test, actions) = bench.call(1);
     assert_eq!(sent_to(&actions), Some(1));
     assert!(refused(&bench.call(1).1));
-    bench.pass(40);
-    bench.stands(look, 0, 1, 40);
+    bench.advance(40);
+    bench.established(test, 0, 1, 40);
     assert_eq!(sent_to(&bench.call(1).1), Some(1));
 }
 
 #[test]
-fn early_hang_ups_are_not_overload() {
+fn early_hang_ups_do_not_count_as_overload() {
     let mut bench = Bench::new(settings(), 1);
     for _ in 0..50 {
         let (call, actions) = bench.call(1);
         assert_eq!(sent_to(&actions), Some(1));
-        bench.pass(20);
+        bench.advance(20);
         bench.event(Event::HungUp(call));
     }
 }
 
 #[test]
-fn odd_input_gets_a_sound_answer() {
-    // No server at all, a class nobody knows, a caller whose time is over, no gateways.
+fn invalid_input_is_handled() {
+    // No servers, zero controllers, an unknown class, a call whose caller has given up.
     let mut bench = Bench::new(Settings { controllers: 0, ..settings() }, 0);
     assert!(refused(&bench.call(1).1));
     let mut bench = Bench::new(settings(), 2);
     assert_eq!(sent_to(&bench.call_with(1, |c| c.class = 77).1), Some(1));
     let now = bench.now;
     assert!(refused(&bench.call_with(1, |c| c.valid_until = now).1));
-    // No permitted server.
+    // No server allowed for the class.
     let mut none = settings();
     none.classes[0].cells = Some(vec![]);
     assert!(refused(&Bench::new(none, 2).call(1).1));
-    // Reports that say nothing, for servers known and unknown.
+    // Reports without valid values, for known and unknown servers.
     for values in [vec![], vec![-1.0; 3], vec![f32::NAN; 3], vec![f32::INFINITY; 9]] {
         for server in [id(1), id(99)] {
             let load = LoadReport(values.clone());
@@ -717,17 +723,17 @@
     }
     let (call, actions) = bench.call(2);
     assert_eq!(sent_to(&actions), Some(2));
-    // Events for the unknown, twice, and with a clock that steps back.
-    bench.stands(CallId(4_000), 0, 1, 10);
-    bench.stands(call, 0, 2, 10);
-    bench.stands(call, 0, 2, 10);
+    // Events for unknown ids, duplicate events, and a clock that steps back.
+    bench.established(CallId(4_000), 0, 1, 10);
+    bench.established(call, 0, 2, 10);
+    bench.established(call, 0, 2, 10);
     bench.event(Event::Timer(TimerToken(12_345)));
     bench.now = Time(1);
-    assert!(sent_to(&bench.call_with(1, |c| c.valid_until = START.plus(AIM)).1).is_some());
+    assert!(sent_to(&bench.call_with(1, |c| c.valid_until = START.plus(TARGET)).1).is_some());
 }
 
 #[test]
-fn lists_repeated_reordered_failed_or_emptied_are_taken_as_told() {
+fn repeated_reordered_failed_and_empty_lists_are_handled() {
     let full = |order: &[u16]| {
         let entries = order.iter().map(|&n| entry(n, ServerState::Ready, Time(0))).collect();
         Event::List { kind: ListKind::Full, entries }
@@ -738,34 +744,34 @@
     bench.event(Event::List { kind: ListKind::Failed, entries: vec![] });
     for first in 1..=3 {
         let (call, actions) = bench.call(first);
-        assert_eq!(sent_to(&actions), Some(first), "the list held stays in force");
-        bench.stands(call, 0, first, 20);
+        assert_eq!(sent_to(&actions), Some(first), "the current list stays in force");
+        bench.established(call, 0, first, 20);
     }
-    // What a full list leaves out has left; an empty one leaves nobody.
+    // Servers missing from a full list are gone; after an empty list none is left.
     bench.event(full(&[2]));
     let (call, actions) = bench.call(1);
     assert_eq!(sent_to(&actions), Some(2));
-    bench.stands(call, 0, 2, 20);
+    bench.established(call, 0, 2, 20);
     bench.event(full(&[]));
     assert!(refused(&bench.call(2).1));
-    // One gateway alone, and settings that contradict themselves.
+    // A single controller with invalid settings.
     let odd = Settings { controllers: 1, cold_share: f64::NAN, overload_factor: -1.0, ..settings() };
     let mut bench = Bench::new(odd, 1);
     let start = bench.now;
-    bench.list(entry(1, ServerState::Ready, start));
+    bench.list_update(entry(1, ServerState::Ready, start));
     let (_, actions) = bench.call(1);
     assert!(refused(&actions) || sent_to(&actions) == Some(1));
 }
 
-/// What an observer, who keeps his own books, holds against the gateway.
+/// Checks the controller's actions against the rules by its own record of the calls.
 #[derive(Default)]
-struct Observer {
-    calls: BTreeMap<CallId, Seen>,
+struct RuleChecker {
+    calls: BTreeMap<CallId, CallRecord>,
     barred: BTreeMap<ServerId, bool>,
 }
 
 #[derive(Default, Clone)]
-struct Seen {
+struct CallRecord {
     valid_until: Time,
     attempts: u16,
     out: Option<(ServerId, Time)>,
@@ -773,33 +779,37 @@
     over: bool,
 }
 
-impl Observer {
-    fn judge(&mut self, now: Time, actions: &[Action]) {
+impl RuleChecker {
+    fn check_actions(&mut self, now: Time, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { call, server, .. } => {
-                    let seen = self.calls.get_mut(call).expect("a send for a call that came");
-                    assert!(!seen.over, "rule 1: sent after the final outcome");
-                    assert!(seen.out.is_none(), "rule 2: two attempts out");
-                    assert_eq!(self.barred.get(server), Some(&false), "rule 3: sent to a drained server");
-                    assert!(now >= seen.released_at, "rule 5: sent before the release");
-                    seen.out = Some((*server, now));
-                    seen.attempts += 1;
-                    assert!(seen.attempts <= 4, "more attempts than allowed");
+                    let record = self.calls.get_mut(call).expect("a send for a known call");
+                    assert!(!record.over, "rule 1: sent after the final answer");
+                    assert!(record.out.is_none(), "rule 2: two attempts outstanding");
+                    assert_eq!(
+                        self.barred.get(server),
+                        Some(&false),
+                        "rule 3: sent to a server that is not ready"
+                    );
+                    assert!(now >= record.released_at, "rule 5: sent before the resend delay has passed");
+                    record.out = Some((*server, now));
+                    record.attempts += 1;
+                    assert!(record.attempts <= 4, "more attempts than allowed");
                 }
                 Action::Refuse { call, .. } | Action::Fail { call } => {
-                    let seen = self.calls.get_mut(call).expect("an answer for a call that came");
-                    assert!(!seen.over, "rule 1: two final outcomes");
-                    seen.over = true;
+                    let record = self.calls.get_mut(call).expect("an answer for a known call");
+                    assert!(!record.over, "rule 1: two final answers");
+                    record.over = true;
                 }
                 _ => {}
             }
         }
     }
-    fn overdue(&self, now: Time) {
+    fn check_deadlines(&self, now: Time) {
         let slack = Span::from_millis(20);
-        let late = |s: &&Seen| !s.over && now > s.valid_until.plus(slack);
-        assert_eq!(self.calls.values().filter(late).count(), 0, "rule 1: no final outcome in time");
+        let late = |s: &&CallRecord| !s.over && now > s.valid_until.plus(slack);
+        assert_eq!(self.calls.values().filter(late).count(), 0, "rule 1: no final answer in time");
     }
 }
 
@@ -824,22 +834,23 @@
     ]
 }
 
-/// Plays a legal sequence and lets the observer judge rules 1, 2, 3 and 5.
+/// Plays a valid sequence of events and checks rules 1, 2, 3 and 5: one final answer, in time; one attempt at
+/// a time; nothing sent to a server that is not ready; the resend delay is kept.
 fn play(steps: &[Step]) {
     let mut bench = Bench::new(settings(), 3);
     let barred = (1..=3).map(|n| (id(n), false)).collect();
-    let mut observer = Observer { barred, ..Observer::default() };
+    let mut checker = RuleChecker { barred, ..RuleChecker::default() };
     let mut due: Vec<(Time, TimerToken)> = Vec::new();
     let mut wait = vec![Step::Pass { ticks: 900 }];
     for step in steps.iter().cloned().chain(wait.drain(..)) {
         let mut done = Vec::new();
         let outs: Vec<_> =
-            observer.calls.iter().filter_map(|(c, s)| s.out.map(|o| (*c, s.clone(), o))).collect();
+            checker.calls.iter().filter_map(|(c, s)| s.out.map(|o| (*c, s.clone(), o))).collect();
         match step {
             Step::Call { first, class, left_ms } => {
                 let valid_until = bench.now.plus(Span::from_millis(left_ms));
                 let name = CallId(bench.next + 1);
-                observer.calls.insert(name, Seen { valid_until, ..Seen::default() });
+                checker.calls.insert(name, CallRecord { valid_until, ..CallRecord::default() });
                 done = bench
                     .call_with(first, |c| {
                         c.class = class;
@@ -848,36 +859,36 @@
                     .1;
             }
             Step::Answer { pick, kind } if !outs.is_empty() => {
-                let (call, seen, (server, sent)) = outs[pick % outs.len()].clone();
-                let attempt = seen.attempts - 1;
-                let book = observer.calls.get_mut(&call).expect("known");
-                book.out = None;
+                let (call, record, (server, sent)) = outs[pick % outs.len()].clone();
+                let attempt = record.attempts - 1;
+                let current = checker.calls.get_mut(&call).expect("known");
+                current.out = None;
                 let n = server.address as u16;
                 done = match kind {
-                    0..=2 if !seen.over => {
-                        book.over = true;
+                    0..=2 if !record.over => {
+                        current.over = true;
                         let took = bench.now.since(sent);
-                        bench.stands(call, attempt, n, took.0 / 1000)
+                        bench.established(call, attempt, n, took.0 / 1000)
                     }
-                    0..=3 => bench.ends(call, attempt, n, Outcome::Full, Cause::ProcessorFull),
-                    4 => bench.ends(call, attempt, n, Outcome::Error, Cause::None),
-                    5 => bench.ends(call, attempt, n, Outcome::ConnectFailed, Cause::None),
+                    0..=3 => bench.ended(call, attempt, n, Outcome::Full, Cause::ProcessorFull),
+                    4 => bench.ended(call, attempt, n, Outcome::Error, Cause::None),
+                    5 => bench.ended(call, attempt, n, Outcome::ConnectFailed, Cause::None),
                     other => {
-                        book.released_at = bench.now.plus(RELEASE);
+                        current.released_at = bench.now.plus(RESEND_DELAY);
                         let ends = [Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled];
-                        bench.ends(call, attempt, n, ends[usize::from(other - 6)], Cause::None)
+                        bench.ended(call, attempt, n, ends[usize::from(other - 6)], Cause::None)
                     }
                 };
             }
-            Step::HangUp { pick } if !observer.calls.is_empty() => {
-                let call = *observer.calls.keys().nth(pick % observer.calls.len()).expect("in range");
-                observer.calls.get_mut(&call).expect("known").over = true;
+            Step::HangUp { pick } if !checker.calls.is_empty() => {
+                let call = *checker.calls.keys().nth(pick % checker.calls.len()).expect("in range");
+                checker.calls.get_mut(&call).expect("known").over = true;
                 done = bench.event(Event::HungUp(call));
             }
             Step::List { server, state, fresh } => {
-                observer.barred.insert(id(server), state != ServerState::Ready);
+                checker.barred.insert(id(server), state != ServerState::Ready);
                 let started = if fresh { bench.now } else { Time(0) };
-                done = bench.list(entry(server, state, started));
+                done = bench.list_update(entry(server, state, started));
             }
             Step::Pass { ticks } => {
                 for _ in 0..ticks {
@@ -886,21 +897,21 @@
                     due = left;
                     for (_, token) in fired {
                         let actions = bench.event(Event::Timer(token));
-                        observer.judge(bench.now, &actions);
+                        checker.check_actions(bench.now, &actions);
                         due.extend(timers(&actions).into_iter().map(|(a, t)| (bench.now.plus(a), t)));
                     }
-                    observer.overdue(bench.now);
+                    checker.check_deadlines(bench.now);
                 }
             }
             Step::Answer { .. } | Step::HangUp { .. } => {}
         }
-        observer.judge(bench.now, &done);
+        checker.check_actions(bench.now, &done);
         due.extend(timers(&done).into_iter().map(|(a, t)| (bench.now.plus(a), t)));
     }
 }
 
-/// Rule 4 as one gateway can keep it: set-ups into a cold server stay within its share, window by window.
-fn ramp(gap_ms: u64, cold_after: usize) {
+/// Checks rule 4 for a single controller: set-ups to a cold server stay within its share after the start.
+fn check_ramp(gap_ms: u64, cold_after: usize) {
     let mut bench = Bench::new(settings(), 2);
     let mut sent_cold: Vec<Time> = Vec::new();
     let mut start = None;
@@ -909,32 +920,33 @@
         if n == cold_after {
             let now = bench.now;
             start = Some(now);
-            bench.list(entry(1, ServerState::Ready, now));
+            bench.list_update(entry(1, ServerState::Ready, now));
         }
         let (call, actions) = bench.call(1 + (n % 2) as u16);
-        bench.pass(gap_ms);
+        bench.advance(gap_ms);
         if let Some(to) = sent_to(&actions) {
             usual += u32::from(n < cold_after);
             if to == 1 && start.is_some() {
                 sent_cold.push(bench.now);
             }
-            bench.stands(call, 0, to, gap_ms.min(40));
+            bench.established(call, 0, to, gap_ms.min(40));
         }
     }
     let rate = f64::from(usual) / 2.0 / (cold_after as f64 * gap_ms as f64 / 1000.0);
     let Some(start) = start else { return };
-    // Two seconds from the start: twice the cold share of the usual rate, and three for chance.
+    // Two seconds from the start: twice the cold share of the usual rate, and three calls of tolerance.
     let early = sent_cold.iter().filter(|t| t.since(start) < Span::from_millis(2000)).count() as f64;
     assert!(early <= 2.0 * 2.0 * 0.42 * rate + 3.0, "rule 4: {early} set-ups at a usual rate of {rate}");
 }
 
-/// Rule 4 by all gateways together: `gateways` controllers on one clock share `rate` calls a second a server.
-/// `cold` of `servers` restart at once while the others are down to `left`; `restarted` gateways know nothing.
-/// Returns the most that any cold server was sent in any window of the rule, over what it may be sent.
-fn fleet_on_cold(gateways: u32, cold: u16, restarted: bool) -> f64 {
+/// Measures rule 4 for a fleet: `controllers` controllers with one clock share `RATE` calls per second and
+/// server. `cold` of the servers restart at once and become the first choice of all calls; if `restarted`, so
+/// do the controllers. Returns the maximum load of any cold server in any window of the rule, relative to the
+/// load that makes it fail.
+fn cold_load_of_fleet(controllers: u32, cold: u16, restarted: bool) -> f64 {
     const SERVERS: u16 = 6;
     const RATE: f64 = 60.0;
-    let told = Settings { controllers: gateways, ..settings() };
+    let settings = Settings { controllers, ..settings() };
     let mut now = START;
     let mut lottery = 99u64;
     let mut draw = |below: u64| {
@@ -949,21 +961,21 @@
     };
     let begin = |now: Time, cold_at| -> Vec<Controller> {
         let start = |seed| {
-            let mut gateway = Controller::new(told.clone(), u64::from(seed));
-            gateway.handle(now, list(cold_at), &mut Vec::new());
-            gateway
+            let mut controller = Controller::new(settings.clone(), u64::from(seed));
+            controller.handle(now, list(cold_at), &mut Vec::new());
+            controller
         };
-        (0..gateways).map(start).collect()
+        (0..controllers).map(start).collect()
     };
     let mut fleet = begin(now, None);
     let mut next = 0;
     let mut answers: Vec<(Time, usize, CallId, ServerId)> = Vec::new();
     let mut sent: BTreeMap<ServerId, Vec<Time>> = BTreeMap::new();
     let mut cold_at = None;
-    let rounds = 6_000; // of 5 ms: 15 s of ordinary service, then 15 s with cold servers
-    for round in 0..rounds {
+    let ticks = 6_000; // of 5 ms: 15 s of ordinary service, then 15 s with cold servers
+    for tick in 0..ticks {
         now = now.plus(TICK);
-        if round == rounds / 2 {
+        if tick == ticks / 2 {
             cold_at = Some(now);
             if restarted {
                 answers.clear();
@@ -974,14 +986,14 @@
         }
         let (due, later): (Vec<_>, Vec<_>) = answers.drain(..).partition(|a| a.0 <= now);
         answers = later;
-        for (_, gateway, call, server) in due {
-            let stands =
+        for (_, controller, call, server) in due {
+            let established =
                 Event::Established { call, attempt: Attempt(0), server, took: Span::from_millis(20) };
-            fleet[gateway].handle(now, stands, &mut Vec::new());
+            fleet[controller].handle(now, established, &mut Vec::new());
         }
-        // All calls ask for the cold servers once these are there, as after a jam elsewhere.
-        let per_round = RATE * f64::from(SERVERS) * TICK.secs();
-        let calls = per_round as u64 + u64::from((draw(1_000) as f64) < per_round.fract() * 1e3);
+        // Once there are cold servers, all calls have them as first choice, as after a congestion elsewhere.
+        let per_tick = RATE * f64::from(SERVERS) * TICK.secs();
+        let calls = per_tick as u64 + u64::from((draw(1_000) as f64) < per_tick.fract() * 1e3);
         for _ in 0..calls {
             next += 1;
             let first = 1 + draw(u64::from(if cold_at.is_some() { cold } else { SERVERS })) as u16;
@@ -995,24 +1007,25 @@
                 redialled: false,
                 in_transit: false,
             };
-            let gateway = draw(u64::from(gateways)) as usize;
+            let controller = draw(u64::from(controllers)) as usize;
             let mut actions = Vec::new();
-            fleet[gateway].handle(now, Event::Call(call), &mut actions);
+            fleet[controller].handle(now, Event::Call(call), &mut actions);
             if let Some(to) = sent_to(&actions) {
-                answers.push((now.plus(Span::from_millis(20)), gateway, CallId(next), id(to)));
-                if to <= cold && cold_at.is_some_and(|at| now.since(at) < told.warm_up) {
+                answers.push((now.plus(Span::from_millis(20)), controller, CallId(next), id(to)));
+                if to <= cold && cold_at.is_some_and(|at| now.since(at) < settings.warm_up) {
                     sent.entry(id(to)).or_default().push(now);
                 }
             }
         }
     }
-    // The server could do its usual calls when warm, the cold share at its start, and grows evenly.
-    let (window, factor) = (told.overload_time, told.overload_factor);
+    // The server's capacity is the cold share at its start and grows linearly to the usual rate when it is
+    // warm.
+    let (window, factor) = (settings.overload_time, settings.overload_factor);
     let start = cold_at.expect("cold by now");
     let worst = |times: &Vec<Time>| {
         let fill = |at: &Time| {
             let inside = times.iter().filter(|t| **t >= *at && t.since(*at) < window).count() as f64;
-            let warmth = 0.3 + 0.7 * (at.since(start).secs() / told.warm_up.secs()).min(1.0);
+            let warmth = 0.3 + 0.7 * (at.since(start).secs() / settings.warm_up.secs()).min(1.0);
             inside / (factor * RATE * warmth * window.secs())
         };
         times.iter().map(fill).fold(0.0, f64::max)
@@ -1021,15 +1034,15 @@
 }
 
 #[test]
-fn all_gateways_together_keep_the_cold_rule_whatever_their_number() {
-    for gateways in [1, 10, 250, 1_000] {
+fn fleets_of_any_size_keep_cold_servers_below_their_overload_limit() {
+    for controllers in [1, 10, 250, 1_000] {
         for (cold, restarted) in [(1, false), (3, false), (1, true), (3, true)] {
-            let fill = fleet_on_cold(gateways, cold, restarted);
+            let fill = cold_load_of_fleet(controllers, cold, restarted);
             assert!(
                 fill < 1.0,
-                "{gateways} gateways, {cold} cold, restarted {restarted}: {fill:.2} of what makes it fall"
+                "{controllers} controllers, {cold} cold, restarted {restarted}: {fill:.2} of the overload limit"
             );
-            assert!(fill > 0.02 || restarted, "{gateways} gateways: the cold server idles ({fill:.3})");
+            assert!(fill > 0.02 || restarted, "{controllers} controllers: the cold server idles ({fill:.3})");
         }
     }
 }
@@ -1044,56 +1057,56 @@
     })]
 
     #[test]
-    fn rules_one_two_three_and_five_hold(steps in prop::collection::vec(step(), 1..120)) {
+    fn rules_1_2_3_and_5_hold_for_random_sequences(steps in prop::collection::vec(step(), 1..120)) {
         play(&steps);
     }
 
     #[test]
-    fn rule_four_holds(gap_ms in 20u64..300, cold_after in 50usize..200) {
-        ramp(gap_ms, cold_after);
+    fn rule_4_holds_for_random_ramps(gap_ms in 20u64..300, cold_after in 50usize..200) {
+        check_ramp(gap_ms, cold_after);
     }
 }
 
-/// Guards against calls refused while a server that fails some of its calls would take them, and against calls that
-/// no server can use being sent again and again.
+/// Guards against calls refused although a server that fails some of its calls would take them, and against
+/// endless resends of a call that no server can process.
 #[test]
-fn after_an_error_a_call_that_no_other_takes_goes_to_the_same_server_once_more() {
+fn after_an_error_a_call_without_alternatives_is_sent_once_more_to_the_same_server() {
     let mut bench = Bench::new(settings(), 1);
     let (call, actions) = bench.call(1);
     assert_eq!(sent_to(&actions), Some(1));
-    assert_eq!(sent_to(&bench.ends(call, 0, 1, Outcome::Error, Cause::None)), Some(1));
-    assert!(refused(&bench.ends(call, 1, 1, Outcome::Error, Cause::None)));
-    // Where another takes it, that one is asked; where both fail it, the call is at fault.
+    assert_eq!(sent_to(&bench.ended(call, 0, 1, Outcome::Error, Cause::None)), Some(1));
+    assert!(refused(&bench.ended(call, 1, 1, Outcome::Error, Cause::None)));
+    // With another server the call goes there; if both fail it, the call is at fault.
     let mut bench = Bench::new(settings(), 2);
     let (call, _) = bench.call(1);
-    assert_eq!(sent_to(&bench.ends(call, 0, 1, Outcome::Error, Cause::None)), Some(2));
-    assert!(refused(&bench.ends(call, 1, 2, Outcome::Error, Cause::None)));
-    // A class that must not be carried out twice is not sent again.
+    assert_eq!(sent_to(&bench.ended(call, 0, 1, Outcome::Error, Cause::None)), Some(2));
+    assert!(refused(&bench.ended(call, 1, 2, Outcome::Error, Cause::None)));
+    // A call that must not be executed twice is not sent again.
     let mut once = settings();
     once.classes[0].repeats = Repeats::SingleShot;
     let mut bench = Bench::new(once, 1);
     let (call, _) = bench.call(1);
-    assert_eq!(sent_to(&bench.ends(call, 0, 1, Outcome::Error, Cause::None)), None);
+    assert_eq!(sent_to(&bench.ended(call, 0, 1, Outcome::Error, Cause::None)), None);
 }
 
-/// A call does not go back to a server on which it was given up: on one connection the last word on the first set-up could
-/// not be told from that on the second, since answers are matched by call alone.
+/// Guards against mixing up answers: they are matched by call alone, so on one connection the final answer to
+/// a cancelled set-up could not be told from that to a second one.
 #[test]
-fn a_call_does_not_go_back_to_a_server_where_it_was_given_up() {
+fn a_call_does_not_return_to_a_server_where_an_attempt_timed_out_or_was_cancelled() {
     for outcome in [Outcome::TimedOut, Outcome::Cancelled] {
         for servers in [1, 2] {
             let mut bench = Bench::new(settings(), servers);
-            // All are well: nothing but the giving up speaks against them.
+            // All servers are healthy, so that only the cancelled attempt excludes a server.
             for _ in 0..20 {
-                (1..=servers).for_each(|server| bench.easy_call(server, 20));
+                (1..=servers).for_each(|server| bench.successful_call(server, 20));
             }
             let (call, mut actions) = bench.call(1);
             let mut tried = Vec::new();
             while let Some(to) = sent_to(&actions) {
                 tried.push(to);
-                let waits = timers(&bench.ends(call, tried.len() as u16 - 1, to, outcome, Cause::None));
-                let (rest, token) = *waits.last().expect("it rests");
-                bench.now = bench.now.plus(rest);
+                let waits = timers(&bench.ended(call, tried.len() as u16 - 1, to, outcome, Cause::None));
+                let (delay, token) = *waits.last().expect("a resend delay");
+                bench.now = bench.now.plus(delay);
                 actions = bench.event(Event::Timer(token));
             }
             assert!(refused(&actions), "{outcome:?}, {servers} servers: {actions:?}");
@@ -1103,32 +1116,32 @@
     }
 }
 
-/// Where aims are short, what is waited for before a call is withdrawn must be short too. Guards against lost set-ups
-/// that are seen when the aim can no longer be met.
+/// Guards against lost set-ups that are detected only when a short target set-up time can no longer be met.
 #[test]
-fn a_lost_set_up_is_withdrawn_while_the_aim_can_be_met_however_short_it_is() {
-    for aim in [500, 1_000, 2_000] {
+fn a_lost_set_up_is_cancelled_while_the_target_can_be_met() {
+    for target in [500, 1_000, 2_000] {
         let class =
-            ClassSettings { setup_target: Span::from_millis(aim), worth: 1.0, ..ClassSettings::default() };
-        let release = Span::from_millis(aim / 2);
-        let mut bench = Bench::new(Settings { classes: vec![class], resend_delay: release, ..settings() }, 2);
+            ClassSettings { setup_target: Span::from_millis(target), worth: 1.0, ..ClassSettings::default() };
+        let resend_delay = Span::from_millis(target / 2);
+        let mut bench = Bench::new(Settings { classes: vec![class], resend_delay, ..settings() }, 2);
         let (lost, first) = bench.call(1);
         assert_eq!(sent_to(&first), Some(1));
-        // A set-up that was sent clearly later is answered first.
-        bench.pass(aim / 8);
+        // A set-up sent clearly later is answered first.
+        bench.advance(target / 8);
         let (next, actions) = bench.call(1);
         assert_eq!(sent_to(&actions), Some(1));
-        bench.pass(20);
-        bench.stands(next, 0, 1, 20);
-        // The last timer of the lost call's sending is its review; it is due while a resend can still stand.
+        bench.advance(20);
+        bench.established(next, 0, 1, 20);
+        // The last timer set when the lost call was sent is its review; it expires while a resend can still
+        // succeed.
         let (review, token) = *timers(&first).last().expect("a review");
-        let spent = review.0 / 1000 + aim / 2 + 5 + 60;
-        assert!(spent <= aim, "aim {aim}: {spent} ms");
+        let spent = review.0 / 1000 + target / 2 + 5 + 60;
+        assert!(spent <= target, "target {target}: {spent} ms");
         bench.now = START.plus(review);
         let actions = bench.event(Event::Timer(token));
         assert!(
             actions.iter().any(|a| matches!(a, Action::Cancel { call, .. } if *call == lost)),
-            "aim {aim}"
+            "target {target}"
         );
     }
 }
