--- a/crates/lockpoint-lab/src/bench.rs
+++ b/crates/lockpoint-lab/src/bench.rs
@@ -65,7 +65,7 @@
 impl Driver {
     fn sid(&mut self) -> String {
         self.next += 1;
-        Sid::numbered(0xbe9c_0000_0000_0000 + self.next).to_string()
+        Sid::from_number(0xbe9c_0000_0000_0000 + self.next).to_string()
     }
 
     async fn ask(&mut self) -> Result<(), LabError> {
--- a/crates/lockpoint-lab/src/fleet/crash.rs
+++ b/crates/lockpoint-lab/src/fleet/crash.rs
@@ -178,7 +178,7 @@
                     continue;
                 }
                 self.asked += 1;
-                let sid = Sid::numbered(0x10_0000 + self.asked).to_string();
+                let sid = Sid::from_number(0x10_0000 + self.asked).to_string();
                 let line = json!({"msg": "open", "sid": sid, "attrs": {"class": "judge-call", "left": "5000",
                     "key": "7f3a9c21e0b4d655", "extras": format!("dest:{}", self.asked % 3)}, "text": "v=0\r\n"});
                 let _ = caller.try_say(0, format!("{line}\n").as_bytes()).await;
@@ -491,7 +491,7 @@
             since_ms: 1,
             leg: false,
         };
-        if let (key, Some(value)) = Change::Stands(Sid::numbered(0xf000_0000_0000 + no), kept).encoded() {
+        if let (key, Some(value)) = Change::Stands(Sid::from_number(0xf000_0000_0000 + no), kept).encoded() {
             batch.put(&key, &value);
         }
     }
@@ -531,7 +531,7 @@
                     since_ms: 1,
                     leg: false,
                 };
-                if let (key, Some(value)) = Change::Stands(Sid::numbered(calls), kept).encoded() {
+                if let (key, Some(value)) = Change::Stands(Sid::from_number(calls), kept).encoded() {
                     batch.put(&key, &value);
                 }
                 calls += 1;
--- a/crates/lockpoint-lab/src/fleet/driven.rs
+++ b/crates/lockpoint-lab/src/fleet/driven.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 use lockpoint::core::{
-    AttemptError, Broken, Client, Core, CoreConfig, Effect, FrontKind, HostLine, Input, Progress, Protocol,
-    Refusal, ServerSays, SetUp, Sid, Source,
+    AttemptError, Client, Core, CoreConfig, DirectoryEntry, Effect, FrontKind, Input, Progress, Protocol,
+    Refusal, ServerEvent, SetUp, Sid, Source, TransportError,
 };
 use lockpoint::fleet::credit_transfer::CreditCounts;
 use lockpoint::fleet::FleetConfig;
@@ -96,16 +96,16 @@
 enum Then {
     Asks(Wanted),
     GivesUp(u16, u64),
-    Says(u16, u16, Sid, ServerSays),
+    Says(u16, u16, Sid, ServerEvent),
     Ends(u16, u16, Sid),
     Mail(u16, u16, Vec<u8>),
-    List(u16, Vec<HostLine>),
+    List(u16, Vec<DirectoryEntry>),
     Wakes,
 }
 
 struct Machine {
     processor: Processor,
-    line: HostLine,
+    line: DirectoryEntry,
     down: bool,
     /// When somebody's list first said that it drains.
     drains: Option<Time>,
@@ -173,13 +173,13 @@
         let now = Time(1_000_000_000);
         let machine = |n: u16| Machine {
             processor: Processor::new(config.processor, config.seed.wrapping_add(u64::from(n))),
-            line: HostLine {
+            line: DirectoryEntry {
                 host: format!("s{n}"),
-                dial: SocketAddr::from(([127, 0, 0, 1], 1_000 + n)),
+                address: SocketAddr::from(([127, 0, 0, 1], 1_000 + n)),
                 protocol: Protocol::Sip,
                 cell: Cell(n),
                 zone: 0,
-                born_ms: 0,
+                started_ms: 0,
                 state: ServerState::Ready,
             },
             down: false,
@@ -235,9 +235,9 @@
             settings: settings(config),
             classes: vec!["judge-call".into()],
             tenants: Vec::new(),
-            most_held: 20_000,
-            most_bytes: 8 << 20,
-            longest: PATIENCE,
+            max_pending_calls: 20_000,
+            max_pending_bytes: 8 << 20,
+            max_caller_wait: PATIENCE,
             seed,
             fleet,
         });
@@ -284,7 +284,8 @@
         let machine = &mut self.machines[usize::from(server)];
         machine.processor.start(now);
         (machine.down, machine.drains) = (false, None);
-        machine.line = HostLine { born_ms: now.0 / 1_000, state: ServerState::Ready, ..machine.line.clone() };
+        machine.line =
+            DirectoryEntry { started_ms: now.0 / 1_000, state: ServerState::Ready, ..machine.line.clone() };
         self.tell(server);
     }
 
@@ -314,7 +315,7 @@
 
     /// Calls that a controller owes an answer.
     pub fn open_calls(&self, me: u16) -> usize {
-        self.controllers[usize::from(me)].core.open_calls()
+        self.controllers[usize::from(me)].core.pending_calls()
     }
 
     /// Lets so much time pass.
@@ -346,7 +347,7 @@
             (next, Some((at, me))) if next.is_none_or(|next| at <= next) && at <= end => {
                 self.now = self.now.max(at);
                 let mut effects = Vec::new();
-                let _ = self.controllers[usize::from(me)].core.sweep(self.now, &mut effects);
+                let _ = self.controllers[usize::from(me)].core.expire_deadlines(self.now, &mut effects);
                 self.carry_out(me, effects);
                 true
             }
@@ -378,18 +379,18 @@
         match then {
             Then::Asks(wanted) => self.ask(wanted),
             Then::GivesUp(me, no) => {
-                if self.asked.remove(&Sid::numbered(no)).is_some() {
-                    self.input(me, Input::Close(CLIENT, Sid::numbered(no), 16));
+                if self.asked.remove(&Sid::from_number(no)).is_some() {
+                    self.input(me, Input::HangUp(CLIENT, Sid::from_number(no), 16));
                 }
             }
             Then::Says(me, server, sid, says) => self.says(me, server, sid, says),
             Then::Ends(me, server, sid) => {
                 let machine = &mut self.machines[usize::from(server)];
                 let released = machine.processor.release(self.now);
-                let says = ServerSays::Released(16, Vec::new());
+                let says = ServerEvent::Released(16, Vec::new());
                 self.book(released, Then::Says(me, server, sid, says));
             }
-            Then::Mail(from, to, data) => self.input(to, Input::Mail(from, data)),
+            Then::Mail(from, to, data) => self.input(to, Input::PeerMessage(from, data)),
             Then::List(me, hosts) => self.list(me, hosts, false),
             Then::Wakes => {
                 for me in 0..self.config.controllers {
@@ -405,8 +406,8 @@
         }
     }
 
-    fn says(&mut self, me: u16, server: u16, sid: Sid, says: ServerSays) {
-        if matches!(says, ServerSays::Answered(_)) {
+    fn says(&mut self, me: u16, server: u16, sid: Sid, says: ServerEvent) {
+        if matches!(says, ServerEvent::Answered(_)) {
             self.book(self.now.plus(self.config.hold), Then::Ends(me, server, sid));
         }
         if let Some(id) = self.controllers[usize::from(me)].ids.get(&server).copied() {
@@ -414,7 +415,7 @@
         }
     }
 
-    fn list(&mut self, me: u16, hosts: Vec<HostLine>, whole: bool) {
+    fn list(&mut self, me: u16, hosts: Vec<DirectoryEntry>, whole: bool) {
         if self.deaf.contains(&me) {
             return;
         }
@@ -441,13 +442,13 @@
             self.book(self.now.plus(after), Then::GivesUp(me, wanted.no));
         }
         let (class, number): (Rc<str>, Rc<str>) = ("judge-call".into(), "7f".into());
-        let sid = Sid::numbered(wanted.no);
+        let sid = Sid::from_number(wanted.no);
         let (body, dest, redialled): (Rc<str>, _, _) =
             ("x".into(), Some(Cell(wanted.dest)), wanted.redialled > 0);
         self.asked.insert(sid, (me, wanted));
         let set_up = SetUp { sid, class, tenant: None, left: PATIENCE, number, dest, redialled, body };
         if self.controllers[usize::from(me)].stalled.is_none() {
-            self.input(me, Input::Open(CLIENT, set_up));
+            self.input(me, Input::SetUp(CLIENT, set_up));
         }
     }
 
@@ -482,8 +483,8 @@
     fn carry_out(&mut self, me: u16, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Reach { server, dial, .. } => {
-                    let at = self.machines.iter().position(|m| m.line.dial == dial);
+                Effect::Connect { server, address, .. } => {
+                    let at = self.machines.iter().position(|m| m.line.address == address);
                     if let Some(at) = at.and_then(|at| u16::try_from(at).ok()) {
                         let controller = &mut self.controllers[usize::from(me)];
                         controller.numbers.insert(server, at);
@@ -497,15 +498,15 @@
                         self.tally.in_aim += u64::from(self.now.since(wanted.at) <= AIM);
                     }
                 }
-                Effect::Refuse { sid, wait, .. } => {
+                Effect::Refuse { sid, retry_after: wait, .. } => {
                     self.tally.turned_away += 1;
                     let of = self.asked.remove(&sid);
                     if let Some(again) = of.and_then(|(_, of)| self.load.redial(self.now, &of, wait)) {
                         self.book(again.at, Then::Asks(again));
                     }
                 }
-                Effect::Release(_, sid, _) => self.input(me, Input::Heard(sid)),
-                Effect::Tell(Some(to), data) => {
+                Effect::Release(_, sid, _) => self.input(me, Input::ReleaseConfirmed(sid)),
+                Effect::SendToPeers(Some(to), data) => {
                     for way in self.links.fate(me, to, &mut self.rng) {
                         self.book(self.now.plus(way), Then::Mail(me, to, data.clone()));
                     }
@@ -521,8 +522,10 @@
         let Some(server) = self.controllers[usize::from(me)].numbers.get(&id).copied() else { return };
         let now = self.now;
         let machine = &mut self.machines[usize::from(server)];
-        let not_there =
-            ServerSays::Lost(AttemptError { why: Broken::Connect, progress: Progress::NotConnected });
+        let not_there = ServerEvent::Lost(AttemptError {
+            error: TransportError::ConnectFailed,
+            progress: Progress::NotConnected,
+        });
         if machine.down {
             return self.book(now.plus(Span::from_millis(2)), Then::Says(me, server, sid, not_there));
         }
@@ -535,9 +538,9 @@
             self.tally.most_to_cold = self.tally.most_to_cold.max(machine.processor.pressure(now));
         }
         let (at, says) = match offer {
-            Offer::Taken(at) => (at, ServerSays::Answered("y".into())),
+            Offer::Taken(at) => (at, ServerEvent::Answered("y".into())),
             Offer::TurnedAway(at, wait) => {
-                (at, ServerSays::Refused(Refusal::Full, Cause::ProcessorFullFor(wait), Vec::new()))
+                (at, ServerEvent::Refused(Refusal::Full, Cause::ProcessorFullFor(wait), Vec::new()))
             }
             Offer::Tipped => {
                 machine.down = true;
--- a/crates/lockpoint-lab/src/fleet/real.rs
+++ b/crates/lockpoint-lab/src/fleet/real.rs
@@ -61,7 +61,7 @@
                 *all[usize::from(no)].does.borrow_mut() = Does::Refuse(503, full.into());
                 let at = fleet.at(me).ok_or_else(|| LabError::Serves(format!("c{me} does not run")))?;
                 let caller = Caller::connect(&world, "caller", at).await;
-                let sid = Sid::numbered(0x5000 + u64::from(no)).to_string();
+                let sid = Sid::from_number(0x5000 + u64::from(no)).to_string();
                 caller.open(&sid, 5_000, no, "v=0\r\n").await;
                 let name = format!("s{no}");
                 let refused =
--- a/crates/lockpoint-lab/src/run.rs
+++ b/crates/lockpoint-lab/src/run.rs
@@ -426,7 +426,7 @@
     }
 
     async fn ask(&mut self, wanted: Wanted) {
-        let sid = Sid::numbered(0x1ab0_0000_0000_0000_u64.wrapping_add(wanted.no)).to_string();
+        let sid = Sid::from_number(0x1ab0_0000_0000_0000_u64.wrapping_add(wanted.no)).to_string();
         let text = "v=0 offer ".repeat(self.experiment.callers.text_bytes.div_ceil(10));
         let ask = Rc::new(Ask {
             class: "judge-call".to_owned(),
--- a/crates/lockpoint-lab/src/scale/controller.rs
+++ b/crates/lockpoint-lab/src/scale/controller.rs
@@ -82,7 +82,7 @@
         let taken = match (channel, &mut self.control_plane) {
             (Channel::Fleet, _) => match self.address_book.number_of(from) {
                 Some(from) => {
-                    self.core.handle(now, Input::Mail(from, bytes.to_vec()), out);
+                    self.core.handle(now, Input::PeerMessage(from, bytes.to_vec()), out);
                     true
                 }
                 None => false,
@@ -100,7 +100,7 @@
     /// Does what has fallen due; appends what the control plane sends.
     pub fn wake(&mut self, now: Time, out: &mut Vec<Effect>, plane_out: &mut Vec<(Address, Vec<u8>)>) {
         let began = Instant::now();
-        let _ = self.core.sweep(now, out);
+        let _ = self.core.expire_deadlines(now, out);
         if let Some(plane) = self.control_plane.as_mut().filter(|plane| plane.next_due() <= now) {
             plane.poll(now, plane_out);
         }
--- a/crates/lockpoint-lab/src/scale/directory.rs
+++ b/crates/lockpoint-lab/src/scale/directory.rs
@@ -1,7 +1,7 @@
 //! The centre as it is today: directories to which every controller holds a long poll. A stand-in counts their
 //! connections and the bytes of their answers; it is a model, no process.
 
-use lockpoint::core::HostLine;
+use lockpoint::core::DirectoryEntry;
 
 use crate::bulletin;
 
@@ -39,12 +39,12 @@
     }
 
     /// An answer with these lines goes to a controller.
-    pub fn answer(&mut self, controller: u16, lines: &[HostLine]) {
+    pub fn answer(&mut self, controller: u16, lines: &[DirectoryEntry]) {
         let machine = usize::from(controller) % self.bytes_out.len();
         self.bytes_out[machine] += lines.iter().map(line_bytes).sum::<u64>();
     }
 }
 
-fn line_bytes(line: &HostLine) -> u64 {
-    bulletin::host(&line.host, line.dial, line.cell.0, "ready").to_string().len() as u64
+fn line_bytes(line: &DirectoryEntry) -> u64 {
+    bulletin::host(&line.host, line.address, line.cell.0, "ready").to_string().len() as u64
 }
--- a/crates/lockpoint-lab/src/scale/real.rs
+++ b/crates/lockpoint-lab/src/scale/real.rs
@@ -202,7 +202,7 @@
     async fn place_calls(&mut self, callers: &[Caller]) {
         for caller in callers {
             self.calls += 1;
-            let sid = Sid::numbered(0x5ca1_e000 + self.calls).to_string();
+            let sid = Sid::from_number(0x5ca1_e000 + self.calls).to_string();
             let dest = (self.calls % u64::from(SERVERS)) as u16;
             caller.open(&sid, CALLER_WAITS_MS, dest, "v=0\r\n").await;
         }
--- a/crates/lockpoint-lab/src/scale/servers.rs
+++ b/crates/lockpoint-lab/src/scale/servers.rs
@@ -1,6 +1,8 @@
 //! The call servers of a scale run: processors that start cold, and the count of what they were sent meanwhile.
 
-use lockpoint::core::{AttemptError, Broken, HostLine, Progress, Protocol, Refusal, ServerSays};
+use lockpoint::core::{
+    AttemptError, DirectoryEntry, Progress, Protocol, Refusal, ServerEvent, TransportError,
+};
 use lockpoint::interface::{Cause, Cell, ServerState, Span, Time};
 use std::net::SocketAddr;
 
@@ -24,7 +26,7 @@
 
 struct Server {
     processor: Processor,
-    line: HostLine,
+    line: DirectoryEntry,
     down: bool,
 }
 
@@ -58,13 +60,13 @@
     pub fn new(count: u16, config: ProcessorConfig, seed: u64) -> Servers {
         let server = |number: u16| Server {
             processor: Processor::new(config, seed.wrapping_add(u64::from(number))),
-            line: HostLine {
+            line: DirectoryEntry {
                 host: format!("s{number}"),
-                dial: dial_of(number),
+                address: dial_of(number),
                 protocol: Protocol::Sip,
                 cell: Cell(number),
                 zone: 0,
-                born_ms: 0,
+                started_ms: 0,
                 state: ServerState::Ready,
             },
             down: false,
@@ -78,12 +80,12 @@
     }
 
     /// All lines of the directory.
-    pub fn lines(&self) -> Vec<HostLine> {
+    pub fn lines(&self) -> Vec<DirectoryEntry> {
         self.each.iter().map(|server| server.line.clone()).collect()
     }
 
     /// The line of one call server.
-    pub fn line(&self, server: u16) -> HostLine {
+    pub fn line(&self, server: u16) -> DirectoryEntry {
         self.each[usize::from(server)].line.clone()
     }
 
@@ -99,7 +101,7 @@
         let server = &mut self.each[usize::from(server)];
         server.processor.start(now);
         server.down = false;
-        server.line.born_ms = now.0 / 1_000;
+        server.line.started_ms = now.0 / 1_000;
         server.line.state = ServerState::Ready;
     }
 
@@ -109,7 +111,7 @@
     }
 
     /// A set-up reaches it: when it says what.
-    pub fn offer(&mut self, now: Time, number: u16) -> (Time, ServerSays) {
+    pub fn offer(&mut self, now: Time, number: u16) -> (Time, ServerEvent) {
         let server = &mut self.each[usize::from(number)];
         if server.down {
             return (now.plus(REFUSED_AFTER), not_connected());
@@ -124,9 +126,9 @@
             self.cold.most_of_budget = self.cold.most_of_budget.max(sent / allowed);
         }
         match offer {
-            Offer::Taken(at) => (at, ServerSays::Answered("y".into())),
+            Offer::Taken(at) => (at, ServerEvent::Answered("y".into())),
             Offer::TurnedAway(at, wait) => {
-                (at, ServerSays::Refused(Refusal::Full, Cause::ProcessorFullFor(wait), Vec::new()))
+                (at, ServerEvent::Refused(Refusal::Full, Cause::ProcessorFullFor(wait), Vec::new()))
             }
             Offer::Tipped => {
                 self.each[usize::from(number)].down = true;
@@ -146,6 +148,6 @@
     }
 }
 
-fn not_connected() -> ServerSays {
-    ServerSays::Lost(AttemptError { why: Broken::Connect, progress: Progress::NotConnected })
+fn not_connected() -> ServerEvent {
+    ServerEvent::Lost(AttemptError { error: TransportError::ConnectFailed, progress: Progress::NotConnected })
 }
--- a/crates/lockpoint-lab/src/scale/simulation/calls.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/calls.rs
@@ -1,6 +1,6 @@
 //! Calls: how they come in, and what the controllers' cores ask for.
 
-use lockpoint::core::{Effect, Input, ServerSays, SetUp, Sid};
+use lockpoint::core::{Effect, Input, ServerEvent, SetUp, Sid};
 use lockpoint::interface::{Cell, ServerId};
 
 use super::event::Event;
@@ -17,7 +17,7 @@
         self.calls.0 += 1;
         self.calls_made += 1;
         let set_up = SetUp {
-            sid: Sid::numbered(self.calls_made),
+            sid: Sid::from_number(self.calls_made),
             class: self.class_names[usize::from(arrival.service)].clone(),
             tenant: None,
             left: PATIENCE,
@@ -26,7 +26,7 @@
             redialled: false,
             body: "x".into(),
         };
-        self.input(arrival.controller, Input::Open(CLIENT, set_up));
+        self.input(arrival.controller, Input::SetUp(CLIENT, set_up));
     }
 
     pub(super) fn server_says(
@@ -35,9 +35,9 @@
         address: Address,
         server: u16,
         sid: Sid,
-        says: ServerSays,
+        says: ServerEvent,
     ) {
-        if matches!(says, ServerSays::Answered(_)) {
+        if matches!(says, ServerEvent::Answered(_)) {
             let ends = Event::CallEnds { controller: member, address, server, sid };
             self.schedule(self.now.plus(HOLD), ends);
         }
@@ -61,12 +61,12 @@
     pub(super) fn carry_out(&mut self, member: u16, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Reach { server, dial, .. } => self.reach(member, server, dial),
+                Effect::Connect { server, address, .. } => self.reach(member, server, address),
                 Effect::Invite { server, sid, .. } => self.invite(member, server, sid),
                 Effect::Answer(..) => self.calls.1 += 1,
-                Effect::Release(_, sid, _) => self.input(member, Input::Heard(sid)),
-                Effect::Tell(Some(to), bytes) => self.tell(member, to, bytes),
-                Effect::Withdraw(server) => self.withdrawn(member, server),
+                Effect::Release(_, sid, _) => self.input(member, Input::ReleaseConfirmed(sid)),
+                Effect::SendToPeers(Some(to), bytes) => self.tell(member, to, bytes),
+                Effect::CancelQueued(server) => self.withdrawn(member, server),
                 Effect::Log(_) => self.check_suspicions(member),
                 _ => {}
             }
--- a/crates/lockpoint-lab/src/scale/simulation/event.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/event.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-use lockpoint::core::{HostLine, ServerSays, Sid};
+use lockpoint::core::{DirectoryEntry, ServerEvent, Sid};
 use lockpoint::interface::Time;
 
 use crate::scale::address::Address;
@@ -43,9 +43,9 @@
     Wake(u16, Address),
     Deliver(Delivery),
     Arrive(Arrival),
-    Says { controller: u16, address: Address, server: u16, sid: Sid, says: ServerSays },
+    Says { controller: u16, address: Address, server: u16, sid: Sid, says: ServerEvent },
     CallEnds { controller: u16, address: Address, server: u16, sid: Sid },
-    Listed { controller: u16, lines: Rc<Vec<HostLine>>, whole: bool },
+    Listed { controller: u16, lines: Rc<Vec<DirectoryEntry>>, whole: bool },
 }
 
 /// A datagram for a remote controller, or from one.
--- a/crates/lockpoint-lab/src/scale/simulation/mod.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/mod.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockpoint::core::{Input, ServerSays, Source};
+use lockpoint::core::{Input, ServerEvent, Source};
 use lockpoint::interface::{Cell, ClassSettings, LoadField, Settings, Span, Time};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -291,7 +291,7 @@
             }
             Event::CallEnds { controller, address, server, sid } => {
                 let at = self.servers.release(self.now, server);
-                let says = ServerSays::Released(16, Vec::new());
+                let says = ServerEvent::Released(16, Vec::new());
                 self.schedule(at, Event::Says { controller, address, server, sid, says });
             }
             Event::Listed { controller, lines, whole } => {
--- a/crates/lockpoint-lab/src/scale/simulation/processes.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/processes.rs
@@ -87,9 +87,9 @@
             settings: if is_source { Settings::default() } else { self.settings.clone() },
             classes: self.class_names.clone(),
             tenants: Vec::new(),
-            most_held: 20_000,
-            most_bytes: 8 << 20,
-            longest: PATIENCE,
+            max_pending_calls: 20_000,
+            max_pending_bytes: 8 << 20,
+            max_caller_wait: PATIENCE,
             seed,
             fleet: (!is_source).then_some(fleet),
         }
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -66,7 +66,7 @@
                 let line = &kept.line;
                 format!(
                     "{} {} {:?} told {} ms, born {} ms",
-                    line.host, line.dial, line.state, kept.told_ms, line.born_ms
+                    line.host, line.address, line.state, kept.told_ms, line.started_ms
                 )
             }
         });
--- a/src/config.rs
+++ b/src/config.rs
@@ -110,8 +110,8 @@
                 settings: parsed,
                 classes: extras.classes,
                 tenants: extras.tenants,
-                most_held: self.limits.calls(extras.most_held),
-                longest: extras.longest,
+                max_pending_calls: self.limits.calls(extras.most_held),
+                max_caller_wait: extras.longest,
                 ..self.core.clone()
             },
             settings,
@@ -463,8 +463,8 @@
         let wrong = ConfigError::Key { file: file.clone(), key: "ROUTER_FD".to_owned(), why };
         config.inherited = Some(usable.ok_or(wrong)?);
         config.limits = config.limits.shared();
-        config.core.most_held = config.limits.calls(config.core.most_held);
-        config.core.most_bytes = config.limits.eighth();
+        config.core.max_pending_calls = config.limits.calls(config.core.max_pending_calls);
+        config.core.max_pending_bytes = config.limits.eighth();
     }
     if config.listen.is_none() && config.inherited.is_none() {
         return Err(ConfigError::NotSet("ROUTER_LISTEN"));
@@ -512,9 +512,9 @@
             settings,
             classes: extras.classes,
             tenants: extras.tenants,
-            most_held: form.limits.calls(extras.most_held),
-            most_bytes: form.limits.eighth(),
-            longest: extras.longest,
+            max_pending_calls: form.limits.calls(extras.most_held),
+            max_pending_bytes: form.limits.eighth(),
+            max_caller_wait: extras.longest,
             seed: seed.transpose()?.unwrap_or(1),
             fleet: None,
         },
@@ -740,9 +740,9 @@
             settings,
             classes: extras.classes,
             tenants: extras.tenants,
-            most_held: form.limits.calls(extras.most_held),
-            most_bytes: form.limits.eighth(),
-            longest: extras.longest,
+            max_pending_calls: form.limits.calls(extras.most_held),
+            max_pending_bytes: form.limits.eighth(),
+            max_caller_wait: extras.longest,
             seed: form.seed.unwrap_or_else(any_seed),
             fleet,
         },
--- a/src/control.rs
+++ b/src/control.rs
@@ -432,7 +432,7 @@
         let servers = |r: &Running| {
             r.instance.servers().into_iter().map(|line| ServerStatus {
                 host: line.host,
-                dial: line.dial.to_string(),
+                dial: line.address.to_string(),
                 state: match line.state {
                     ServerState::Ready => "ready",
                     ServerState::Draining => "draining",
--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -1,8 +1,8 @@
 //! Stage 2: what the controller has no room or no list for is refused before the module hears of it.
 
 use crate::core::{Client, Core, Effect, Sid};
-use crate::figures::Ending;
 use crate::interface::Span;
+use crate::metrics::Ending;
 
 /// Calls of one caller that may be owed an answer at once. Guards against one who asks for hundreds at once and takes
 /// the place of the others.
@@ -13,7 +13,8 @@
 impl Core {
     /// Whether another call may be held.
     pub(super) fn admits(&mut self, client: Client) -> bool {
-        let room = self.open.len() < self.config.most_held && self.held_bytes < self.config.most_bytes;
+        let room = self.open.len() < self.config.max_pending_calls
+            && self.held_bytes < self.config.max_pending_bytes;
         let of_one = self.clients.get(&client).map_or(0, |caller| caller.owed);
         let takes = self.closes_at.is_none_or(|at| self.now < at);
         self.list_held && takes && room && of_one < MOST_OF_ONE && self.returned()
@@ -30,14 +31,14 @@
         self.ends(class, Ending::Failed);
         self.counts.unusable += 1;
         self.remember(sid);
-        out.push(Effect::Refuse { client, sid, again: false, wait: Span::default() });
-        out.push(Effect::Offended(client));
+        out.push(Effect::Refuse { client, sid, retryable: false, retry_after: Span::default() });
+        out.push(Effect::ProtocolViolation(client));
     }
 
     pub(super) fn not_admitted(&mut self, client: Client, sid: Sid, class: usize, out: &mut Vec<Effect>) {
         self.ends(Some(class), Ending::Rejected);
         let wait = NO_ROOM_WAIT.min(self.config.settings.max_retry_after);
         self.remember(sid);
-        out.push(Effect::Refuse { client, sid, again: true, wait });
+        out.push(Effect::Refuse { client, sid, retryable: true, retry_after: wait });
     }
 }
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -6,7 +6,7 @@
 
 use crate::core::relay::{CAUSE_CLEARED, CAUSE_CUT};
 use crate::core::send::ended;
-use crate::core::{Caller, Client, Core, Due, Effect, FrontKind, Report, Sid};
+use crate::core::{Caller, Client, Core, Deadline, Effect, FrontKind, LoadValues, Sid};
 use crate::interface::{Attempt, AttemptEnd, CallId, Cause, Event, Outcome, ServerId, Span, Time};
 use crate::recovery::records::Change;
 
@@ -121,14 +121,14 @@
     pub(super) fn client_up(&mut self, client: Client) {
         self.clients.insert(client, Caller::default());
         if client.front == FrontKind::JsonLines && !self.book.unsaid.is_empty() {
-            self.deadlines.set(self.now.plus(GREETS), Due::Greets(client));
+            self.deadlines.set(self.now.plus(GREETS), Deadline::FirstMessage(client));
         }
     }
 
     /// Whoever tests is the front, which knows of no calls. Guards against releases that are said to it while callers
     /// are sent away, and against tests that it takes for failed because of them.
     pub(super) fn client_tests(&mut self, client: Client) {
-        self.deadlines.clear(&Due::Greets(client));
+        self.deadlines.clear(&Deadline::FirstMessage(client));
         if let Some(caller) = self.clients.get_mut(&client) {
             caller.tests = !caller.served && caller.owed == 0;
         }
@@ -141,9 +141,9 @@
         if self.book.unsaid.is_empty() || client.front != FrontKind::JsonLines {
             return;
         }
-        self.deadlines.clear(&Due::Greets(client));
+        self.deadlines.clear(&Deadline::FirstMessage(client));
         for (sid, unsaid) in std::mem::take(&mut self.book.unsaid) {
-            self.deadlines.clear(&Due::Unsaid(sid));
+            self.deadlines.clear(&Deadline::PendingRelease(sid));
             self.say_release(client, sid, unsaid.cause, unsaid.said, out);
         }
     }
@@ -152,7 +152,7 @@
     /// IAX2 is its call, and ends with it.
     pub(super) fn client_down(&mut self, client: Client, out: &mut Vec<Effect>) {
         self.clients.remove(&client);
-        self.deadlines.clear(&Due::Greets(client));
+        self.deadlines.clear(&Deadline::FirstMessage(client));
         let open: Vec<Sid> =
             self.open.iter().filter(|(_, o)| o.client == client).map(|(sid, _)| *sid).collect();
         for sid in open {
@@ -179,9 +179,9 @@
         if let Some(open) = self.open.get(&sid) {
             // Guards against a caller who takes back what is another's.
             let own = open.client == client;
-            return if own { self.hang_up(sid, out) } else { out.push(Effect::Heard(client, sid)) };
+            return if own { self.hang_up(sid, out) } else { out.push(Effect::ConfirmRelease(client, sid)) };
         }
-        out.push(Effect::Heard(client, sid));
+        out.push(Effect::ConfirmRelease(client, sid));
         if self.book.standing.contains_key(&sid) {
             self.end_standing(sid, cause, out);
         } else if !self.book.ended.contains_key(&sid) {
@@ -206,7 +206,7 @@
         self.feed(Event::HungUp(call), out);
         self.take_back(sid, Outcome::Cancelled, out);
         if let Some(open) = self.close(sid) {
-            out.push(Effect::Settled(open.client));
+            out.push(Effect::AnswerNoLongerOwed(open.client));
         }
         self.remember(sid);
         self.pump(out);
@@ -219,7 +219,7 @@
         self.note_change(|| Change::Ends(sid));
         self.no_longer_trusted(sid);
         out.push(Effect::Bye(s.server, sid, cause));
-        self.tell_end(s, Outcome::Cancelled, &Report::new(), out);
+        self.tell_end(s, Outcome::Cancelled, &LoadValues::new(), out);
     }
 
     /// A call server's release: the caller hears of it at once, on its own connection or any other.
@@ -228,7 +228,7 @@
         server: ServerId,
         sid: Sid,
         cause: u16,
-        report: Report,
+        report: LoadValues,
         out: &mut Vec<Effect>,
     ) {
         if self.book.stands_at(sid, server) {
@@ -258,7 +258,7 @@
         &mut self,
         server: ServerId,
         sid: Sid,
-        report: &Report,
+        report: &LoadValues,
         out: &mut Vec<Effect>,
     ) {
         let Some(open) = self.open.get(&sid) else { return };
@@ -282,7 +282,7 @@
         let Some(s) = self.book.no_longer_stands(sid) else { return };
         self.remember(sid);
         self.say_release(s.client, sid, CAUSE_CUT, 0, out);
-        self.tell_end(s, Outcome::Reset, &Report::new(), out);
+        self.tell_end(s, Outcome::Reset, &LoadValues::new(), out);
     }
 
     /// The release goes on the call's own connection, else on any open one of its front, else on the next to open.
@@ -321,13 +321,13 @@
             None if shared && self.book.unsaid.len() < MOST_KEPT => {
                 self.book.unsaid.insert(sid, Owed { cause, said });
                 self.note_change(|| Change::Owes(sid, cause));
-                self.deadlines.set(self.now.plus(UNSAID), Due::Unsaid(sid));
+                self.deadlines.set(self.now.plus(UNSAID), Deadline::PendingRelease(sid));
             }
             None => self.note_change(|| Change::Ends(sid)),
         }
     }
 
-    fn tell_end(&mut self, s: Standing, outcome: Outcome, report: &Report, out: &mut Vec<Effect>) {
+    fn tell_end(&mut self, s: Standing, outcome: Outcome, report: &LoadValues, out: &mut Vec<Effect>) {
         let took = self.now.since(s.since);
         let mut event = ended(s.id, s.attempt, s.server, outcome, Cause::None, took);
         let load = self.load_of(report);
@@ -342,11 +342,11 @@
         if self.book.ended.insert(sid, ()).is_none() {
             self.book.order.push_back(sid);
         }
-        self.deadlines.set(self.now.plus(REMEMBERED), Due::Forget(sid));
+        self.deadlines.set(self.now.plus(REMEMBERED), Deadline::ForgetCall(sid));
         while self.book.order.len() > MOST_KEPT {
             let Some(oldest) = self.book.order.pop_front() else { break };
             self.book.forget(oldest);
-            self.deadlines.clear(&Due::Forget(oldest));
+            self.deadlines.clear(&Deadline::ForgetCall(oldest));
         }
     }
 }
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::core::{Core, Due, Effect, HostLine};
+use crate::core::{Core, Deadline, DirectoryEntry, Effect};
 use crate::fleet::credit_transfer::{CreditCounts, CreditNews};
 use crate::fleet::failure_detector::PeerCounts;
 use crate::fleet::observation::{decode_listing, encode_listing};
@@ -142,7 +142,7 @@
 
     /// Our own directory lists a call server: its entry ends any warning. It is published if it keeps new calls away,
     /// or if it differs from what the fleet knows.
-    pub(super) fn publish_listing(&mut self, server: ServerId, line: &HostLine) {
+    pub(super) fn publish_listing(&mut self, server: ServerId, line: &DirectoryEntry) {
         let (now, state) = (self.now, line.state);
         self.keys.add(server, &line.host);
         self.warnings.record_own_listing(now, server);
@@ -169,9 +169,9 @@
                     "warning: the directory of controller {} lists {host} as taking no new calls",
                     observation.origin
                 )));
-                out.push(Effect::Withdraw(server));
+                out.push(Effect::CancelQueued(server));
                 self.list_again(server, ServerState::Draining, out);
-                self.deadlines.set(until, Due::Warned(server));
+                self.deadlines.set(until, Deadline::ListingWarning(server));
             }
             WarningChange::Withdrawn => self.end_warning(server, "withdrawn by a peer's directory", out),
         }
@@ -181,7 +181,7 @@
     pub(super) fn warning_due(&mut self, server: ServerId, out: &mut Vec<Effect>) {
         match self.warnings.check_expiry(self.now, server) {
             Some(Expiry::Expired) => self.end_warning(server, "not confirmed by our own directory", out),
-            Some(Expiry::ActiveUntil(later)) => self.deadlines.set(later, Due::Warned(server)),
+            Some(Expiry::ActiveUntil(later)) => self.deadlines.set(later, Deadline::ListingWarning(server)),
             None => {}
         }
     }
@@ -196,7 +196,7 @@
     /// Passes a state of a call server to the module as if the directory had listed it.
     pub(super) fn list_again(&mut self, server: ServerId, state: ServerState, out: &mut Vec<Effect>) {
         let Some(listed) = self.servers.get(&server) else { return };
-        let entry = super::route::entry_of(server, &HostLine { state, ..listed.line.clone() });
+        let entry = super::route::entry_of(server, &DirectoryEntry { state, ..listed.line.clone() });
         self.feed(Event::List { kind: ListKind::Delta, entries: vec![entry] }, out);
     }
 
@@ -219,21 +219,21 @@
         fleet.poll(now, &mut datagrams);
         let changes = fleet.take_peer_changes().into_iter();
         out.extend(changes.map(|change| Effect::Log(change.to_string())));
-        out.extend(datagrams.into_iter().map(|Outgoing { to, bytes }| Effect::Tell(Some(to), bytes)));
+        out.extend(datagrams.into_iter().map(|Outgoing { to, bytes }| Effect::SendToPeers(Some(to), bytes)));
     }
 
     /// Sets the deadline of the next [`Core::tell_fleet`].
     pub(super) fn book_fleet(&mut self) {
         if let Some(fleet) = self.fleet() {
             let due = fleet.next_poll();
-            self.deadlines.set(due, Due::Fleet);
+            self.deadlines.set(due, Deadline::FleetPoll);
         }
     }
 
     /// The state of the listed call servers, sorted by name; empty without a fleet.
     pub fn fleet_view(&self, now: Time) -> Vec<FleetView> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
-        let listed = self.listed().filter(|line| line.state != ServerState::Gone);
+        let listed = self.listed_servers().filter(|line| line.state != ServerState::Gone);
         let mut view: Vec<FleetView> = listed
             .map(|line| {
                 let key = Key::of(&line.host);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -20,10 +20,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::figures::{Ending, Figures, Gauges};
 use crate::fleet::warnings::Warnings;
 use crate::fleet::{Fleet, FleetConfig};
 use crate::interface::{CallId, Event, ServerId, ServerState, Settings, Span, Time, Token};
+use crate::metrics::{Ending, Gauges, RequestMetrics};
 use crate::recovery::records::Change;
 use crate::rules::Controller;
 use book::Book;
@@ -34,46 +34,60 @@
 
 /// What the core has set deadlines for.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Due {
+pub enum Deadline {
     /// A timer of the decision module.
     Module(Token),
     /// An attempt has been waited for long enough.
     Attempt(CallId),
     /// The caller gives up now.
-    Caller(CallId),
+    #[serde(rename = "Caller")]
+    CallerTimeout(CallId),
     /// An ended call need not be remembered any more.
-    Forget(Sid),
+    #[serde(rename = "Forget")]
+    ForgetCall(Sid),
     /// A caller's connection on which nothing was said yet is one for releases that wait.
-    Greets(Client),
+    #[serde(rename = "Greets")]
+    FirstMessage(Client),
     /// Releases that found no connection have waited long enough.
-    Unsaid(Sid),
+    #[serde(rename = "Unsaid")]
+    PendingRelease(Sid),
     /// A call server that has left the list may be forgotten.
-    Gone(ServerId),
+    #[serde(rename = "Gone")]
+    ForgetServer(ServerId),
     /// Something of a wire's: its part and a key of its own.
-    Wire(WirePart, u64),
+    #[serde(rename = "Wire")]
+    ProtocolAdapter(DeadlineOwner, u64),
     /// Something is to be told to the other controllers.
-    Fleet,
+    #[serde(rename = "Fleet")]
+    FleetPoll,
     /// What another said of a call server's listing may count no longer.
-    Warned(ServerId),
+    #[serde(rename = "Warned")]
+    ListingWarning(ServerId),
     /// A phase of the recovery ends.
     Recovery,
 }
 
 /// The wires that keep deadlines here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum WirePart {
+pub enum DeadlineOwner {
     /// A caller's connection that may have stayed for too long.
-    Guests,
+    #[serde(rename = "Guests")]
+    ClientConnections,
     /// A new connection of a SIP call server on which nothing was heard yet.
-    SipFirstWord,
+    #[serde(rename = "SipFirstWord")]
+    SipFirstMessage,
     /// Reconnecting to a SIP call server.
-    SipReach,
+    #[serde(rename = "SipReach")]
+    SipReconnect,
     /// The silence of a SIP call server that has calls.
-    SipWatch,
+    #[serde(rename = "SipWatch")]
+    SipSilence,
     /// A leg of the IAX2 front.
-    IaxFront,
+    #[serde(rename = "IaxFront")]
+    Iax2Front,
     /// A leg or a call server of the IAX2 side.
-    IaxServers,
+    #[serde(rename = "IaxServers")]
+    Iax2Upstream,
 }
 
 /// What the core is told at its start.
@@ -86,11 +100,11 @@
     /// Names of the tenants, in the module's order; calls know them at their arrival only, so a reload may change them.
     pub tenants: Vec<Rc<str>>,
     /// Calls that may be open at once.
-    pub most_held: usize,
+    pub max_pending_calls: usize,
     /// Bytes that their descriptions may take together.
-    pub most_bytes: usize,
+    pub max_pending_bytes: usize,
     /// The longest that any class lets a caller wait.
-    pub longest: Span,
+    pub max_caller_wait: Span,
     /// Seed for the module's random numbers.
     pub seed: u64,
     /// How it shares with the other controllers what it sees of the call servers; `None`: it does not.
@@ -184,7 +198,7 @@
 /// A call server as the directories tell of it.
 #[derive(Debug, Serialize, Deserialize)]
 struct Listed {
-    line: HostLine,
+    line: DirectoryEntry,
     source: Source,
 }
 
@@ -210,13 +224,13 @@
     clients: BTreeMap<Client, Caller>,
     book: Book,
     /// All deadlines of the instance, the wires' too.
-    pub deadlines: Deadlines<Due>,
+    pub deadlines: Deadlines<Deadline>,
     #[serde(skip)]
     events: VecDeque<Event>,
     #[serde(skip)]
     counts: CoreCounts,
     #[serde(skip)]
-    figures: Figures,
+    metrics: RequestMetrics,
     /// What all controllers know together; each process learns it anew.
     #[serde(skip)]
     fleet: Option<Fleet>,
@@ -235,7 +249,7 @@
     /// A core that knows nothing but its settings.
     pub fn new(config: CoreConfig) -> Self {
         let module = Controller::new(config.settings.clone(), config.seed);
-        let figures = Figures::of(&config.classes);
+        let metrics = RequestMetrics::for_classes(&config.classes);
         Self {
             config,
             module,
@@ -254,7 +268,7 @@
             deadlines: Deadlines::default(),
             events: VecDeque::new(),
             counts: CoreCounts::default(),
-            figures,
+            metrics,
             fleet: None,
             keys: fleet::Keys::default(),
             warnings: Warnings::default(),
@@ -265,7 +279,7 @@
     /// Goes on with what another process held, by settings of its own; the classes must be the same.
     pub fn resume(mut self, config: CoreConfig) -> Core {
         self.module.reconfigure(config.settings.clone());
-        self.figures = Figures::of(&config.classes);
+        self.metrics = RequestMetrics::for_classes(&config.classes);
         self.config = config;
         self.servers.iter().for_each(|(server, listed)| self.keys.add(*server, &listed.line.host));
         self
@@ -282,46 +296,46 @@
         match input {
             Input::ClientUp(client) => self.client_up(client),
             Input::ClientDown(client) => self.client_down(client, out),
-            Input::Tested(client) => self.client_tests(client),
-            Input::Open(client, set_up) => {
+            Input::HealthCheck(client) => self.client_tests(client),
+            Input::SetUp(client, set_up) => {
                 self.client_speaks(client, out);
                 self.take_in(client, set_up, out);
             }
-            Input::Close(client, sid, cause) => {
+            Input::HangUp(client, sid, cause) => {
                 self.client_speaks(client, out);
                 self.client_closes(client, sid, cause, out);
             }
-            Input::Heard(sid) => self.book.heard(sid),
+            Input::ReleaseConfirmed(sid) => self.book.heard(sid),
             Input::Server(server, sid, says) => self.server_says(server, sid, says, out),
             Input::Load(server, report) => self.server_reports(server, report, out),
-            Input::Died(server) => self.server_died(server, out),
+            Input::ServerDied(server) => self.server_died(server, out),
             Input::List { source, whole, hosts } => self.news(source, whole, hosts, out),
-            Input::Mail(from, data) => self.mail(from, data, out),
-            Input::Turn => {}
+            Input::PeerMessage(from, data) => self.mail(from, data, out),
+            Input::Tick => {}
         }
         self.book_fleet();
     }
 
     /// Takes what has fallen due by `now`; hands back what is a wire's.
-    pub fn sweep(&mut self, now: Time, out: &mut Vec<Effect>) -> Vec<(WirePart, u64)> {
+    pub fn expire_deadlines(&mut self, now: Time, out: &mut Vec<Effect>) -> Vec<(DeadlineOwner, u64)> {
         self.now = self.now.max(now);
         let mut wires = Vec::new();
         while let Some(due) = self.deadlines.pop(self.now) {
             match due {
-                Due::Module(token) => self.feed(Event::Timer(token), out),
-                Due::Attempt(call) => self.attempt_overdue(call, out),
-                Due::Caller(call) => self.caller_gives_up(call, out),
-                Due::Forget(sid) => self.book.forget(sid),
-                Due::Gone(server) => self.forget_server(server, out),
-                Due::Fleet => self.tell_fleet(out),
-                Due::Warned(server) => self.warning_due(server, out),
-                Due::Recovery => self.recovery_due(out),
-                Due::Greets(client) => self.client_speaks(client, out),
-                Due::Unsaid(sid) => {
+                Deadline::Module(token) => self.feed(Event::Timer(token), out),
+                Deadline::Attempt(call) => self.attempt_overdue(call, out),
+                Deadline::CallerTimeout(call) => self.caller_gives_up(call, out),
+                Deadline::ForgetCall(sid) => self.book.forget(sid),
+                Deadline::ForgetServer(server) => self.forget_server(server, out),
+                Deadline::FleetPoll => self.tell_fleet(out),
+                Deadline::ListingWarning(server) => self.warning_due(server, out),
+                Deadline::Recovery => self.recovery_due(out),
+                Deadline::FirstMessage(client) => self.client_speaks(client, out),
+                Deadline::PendingRelease(sid) => {
                     self.book.drop_unsaid(sid);
                     self.note_change(|| Change::Ends(sid));
                 }
-                Due::Wire(part, key) => wires.push((part, key)),
+                Deadline::ProtocolAdapter(part, key) => wires.push((part, key)),
             }
         }
         self.book_fleet();
@@ -342,7 +356,7 @@
     }
 
     /// Whether a configuration has it take part among the controllers as it does now.
-    pub fn same_fleet(&self, other: Option<&FleetConfig>) -> bool {
+    pub fn fleet_config_matches(&self, other: Option<&FleetConfig>) -> bool {
         let part = |fleet: &FleetConfig| {
             (fleet.me, fleet.controllers, fleet.fanout, fleet.max_bytes_per_second, fleet.max_age)
         };
@@ -350,7 +364,7 @@
     }
 
     /// From when on set-ups are refused; `None`: they are taken.
-    pub fn close_at(&mut self, at: Option<Time>) {
+    pub fn refuse_set_ups_from(&mut self, at: Option<Time>) {
         self.closes_at = at;
     }
 
@@ -360,32 +374,32 @@
     }
 
     /// Calls that are owed a final answer.
-    pub fn open_calls(&self) -> usize {
+    pub fn pending_calls(&self) -> usize {
         self.open.len()
     }
 
     /// Calls that stand.
-    pub fn standing_calls(&self) -> usize {
+    pub fn established_calls(&self) -> usize {
         self.book.standing.len()
     }
 
     /// Whether a call of this name is owed an answer.
-    pub fn owes(&self, sid: Sid) -> bool {
+    pub fn awaits_answer(&self, sid: Sid) -> bool {
         self.open.contains_key(&sid)
     }
 
     /// A call for which this connection is owed an answer.
-    pub fn owed_on(&self, client: Client) -> Option<Sid> {
+    pub fn pending_call_on(&self, client: Client) -> Option<Sid> {
         self.open.iter().find(|(_, open)| open.client == client).map(|(sid, _)| *sid)
     }
 
     /// The longest that any class lets a caller wait, by the settings of now.
-    pub fn longest(&self) -> Span {
-        self.config.longest
+    pub fn max_caller_wait(&self) -> Span {
+        self.config.max_caller_wait
     }
 
     /// Whether a call that stands was asked for on this connection.
-    pub fn carries(&self, client: Client) -> bool {
+    pub fn has_established_calls(&self, client: Client) -> bool {
         self.book.carries(client)
     }
 
@@ -395,8 +409,8 @@
     }
 
     /// The requests that have ended.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &RequestMetrics {
+        &self.metrics
     }
 
     /// What is held at `now`; whom it avoids the module alone knows.
@@ -418,7 +432,7 @@
             Ending::Failed => self.counts.failed += 1,
         }
         if let Some(class) = class {
-            self.figures.book(class, how);
+            self.metrics.record(class, how);
         }
     }
 
@@ -428,7 +442,7 @@
     }
 
     /// The call servers known: name, address, state.
-    pub fn listed(&self) -> impl Iterator<Item = &HostLine> {
+    pub fn listed_servers(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.servers.values().map(|listed| &listed.line)
     }
 }
--- a/src/core/recover.rs
+++ b/src/core/recover.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::core::relay::CAUSE_CUT;
-use crate::core::{Client, Core, Due, Effect, FrontKind, HostLine, Sid, Source};
+use crate::core::{Client, Core, Deadline, DirectoryEntry, Effect, FrontKind, Sid, Source};
 use crate::interface::{CallId, ServerId, ServerState, Time};
 use crate::recovery::records::{Change, Found, KeptCall, KeptLine};
 use crate::recovery::{fate, Fate, Phase, Recovery, RecoveryConfig};
@@ -26,18 +26,18 @@
 }
 
 impl Core {
-    /// From now on what a life after this one needs is noted, for [`Core::changes`].
-    pub fn keep(&mut self) {
+    /// From now on what a life after this one needs is noted, for [`Core::take_changes`].
+    pub fn record_changes(&mut self) {
         self.returns.changes.get_or_insert_with(Vec::new);
     }
 
     /// For so long nothing may go for a call after an attempt that may have been out, and a round more.
-    pub fn release(&self) -> crate::interface::Span {
+    pub fn resend_delay(&self) -> crate::interface::Span {
         crate::interface::Span(self.config.settings.release.0.saturating_add(self.config.settings.tick.0))
     }
 
     /// What is to be kept, since it was last asked for.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<Change> {
         self.returns.changes.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
@@ -70,7 +70,7 @@
             self.say_release(NOBODY, *sid, *cause, 0, out);
         }
         self.returns.unknown.extend(found.calls.iter().cloned());
-        let mut by_source: BTreeMap<Source, Vec<HostLine>> = BTreeMap::new();
+        let mut by_source: BTreeMap<Source, Vec<DirectoryEntry>> = BTreeMap::new();
         for kept in found.lines(self.now, config.line_age) {
             by_source.entry(kept.source).or_default().push(kept.line.clone());
         }
@@ -84,7 +84,7 @@
     pub(super) fn others_answer(&mut self) {
         if let Some(recovery) = &mut self.returns.recovery {
             recovery.hears();
-            self.deadlines.set(self.now, Due::Recovery);
+            self.deadlines.set(self.now, Deadline::Recovery);
         }
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// What the module hears of a call server's state: one that is cold takes no calls before all others have work.
-    pub(super) fn state_for_module(&self, line: &HostLine) -> ServerState {
-        let cold = self.now.since(Time(line.born_ms.saturating_mul(1_000))) < self.config.settings.cold;
+    pub(super) fn state_for_module(&self, line: &DirectoryEntry) -> ServerState {
+        let cold = self.now.since(Time(line.started_ms.saturating_mul(1_000))) < self.config.settings.cold;
         let waits = self.returns.recovery.as_ref().is_some_and(|recovery| !recovery.gives_to_cold());
         match line.state {
             ServerState::Ready if cold && waits => ServerState::Draining,
@@ -129,24 +129,24 @@
         let until = self.returns.began.plus(self.returns.config.list_patience);
         let next = ends.into_iter().chain((!self.returns.unknown.is_empty()).then_some(until)).min();
         match next {
-            Some(at) => self.deadlines.set(at.max(now), Due::Recovery),
+            Some(at) => self.deadlines.set(at.max(now), Deadline::Recovery),
             None if self.returns.trusted.is_empty() => self.returns.recovery = None,
             None => {}
         }
     }
 
     /// A list names a call server: what becomes of the calls that stood there.
-    pub(super) fn decide_at(&mut self, server: ServerId, line: &HostLine, out: &mut Vec<Effect>) {
+    pub(super) fn decide_at(&mut self, server: ServerId, line: &DirectoryEntry, out: &mut Vec<Effect>) {
         if self.returns.unknown.is_empty() && self.returns.trusted.is_empty() {
             return;
         }
         let there = self.returns.unknown.iter().filter(|(_, call)| call.host == line.host);
         let there: Vec<Sid> = there.map(|(sid, _)| *sid).collect();
         for sid in there {
-            self.decide(sid, Some((server, line.born_ms)), out);
+            self.decide(sid, Some((server, line.started_ms)), out);
         }
         // Guards against calls left standing at callers since an old list named the process that carried them.
-        let anew = |(at, born): &(ServerId, u64)| *at == server && *born != line.born_ms;
+        let anew = |(at, born): &(ServerId, u64)| *at == server && *born != line.started_ms;
         let over = self.returns.trusted.iter().filter(|(_, call)| anew(call));
         let over: Vec<Sid> = over.map(|(sid, _)| *sid).collect();
         for sid in over {
@@ -165,7 +165,7 @@
                 self.next_call = self.next_call.wrapping_add(1);
                 let since = Time(call.since_ms.saturating_mul(1_000));
                 self.book.stands(sid, NOBODY, server, id, attempt, since);
-                out.push(Effect::Adopt { server, sid, number: call.number.as_str().into() });
+                out.push(Effect::RestoreCall { server, sid, number: call.number.as_str().into() });
                 if call.leg {
                     // Its caller's leg has gone with the process before: there is nobody to talk to.
                     self.end_standing(sid, CAUSE_CUT, out);
@@ -185,7 +185,7 @@
     }
 
     /// The line of a list is kept.
-    pub(super) fn keep_line(&mut self, source: Source, line: &HostLine) {
+    pub(super) fn keep_line(&mut self, source: Source, line: &DirectoryEntry) {
         let told_ms = self.now.0 / 1_000;
         self.note_change(|| Change::Listed(KeptLine { source, line: line.clone(), told_ms }));
     }
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -2,9 +2,9 @@
 
 use std::rc::Rc;
 
-use crate::core::{AttemptError, Client, Core, Effect, FrontKind, Refusal, ServerSays, Sid};
-use crate::figures::Ending;
+use crate::core::{AttemptError, Client, Core, Effect, FrontKind, Refusal, ServerEvent, Sid};
 use crate::interface::{Attempt, CallId, Cause, Event, LoadReport, Outcome, ServerId, Span};
+use crate::metrics::Ending;
 use crate::recovery::records::{Change, KeptCall};
 
 /// Cause of a call that was ended by its user.
@@ -17,13 +17,13 @@
         &mut self,
         server: ServerId,
         sid: Sid,
-        says: ServerSays,
+        says: ServerEvent,
         out: &mut Vec<Effect>,
     ) {
         let is_out = self.open.get(&sid).is_some_and(|open| open.is_out_at(server));
         match says {
-            ServerSays::Answered(body) if is_out => self.stands(sid, body, out),
-            ServerSays::Answered(_) => {
+            ServerEvent::Answered(body) if is_out => self.stands(sid, body, out),
+            ServerEvent::Answered(_) => {
                 if let Some(open) = self.open.get_mut(&sid) {
                     open.unsettled.remove(&server); // it is ended there now
                 }
@@ -37,7 +37,7 @@
                     self.counts.unknown_answers += 1;
                 }
             }
-            ServerSays::Refused(refusal, cause, report) => {
+            ServerEvent::Refused(refusal, cause, report) => {
                 let load = self.load_of(&report);
                 if is_out {
                     self.attempt_ended(sid, outcome_of(refusal), cause, load);
@@ -46,12 +46,12 @@
                     self.feed(Event::Load { server, outcome: Outcome::Ok, load }, out);
                 }
             }
-            ServerSays::Lost(error) if is_out => {
+            ServerEvent::Lost(error) if is_out => {
                 self.attempt_ended(sid, outcome_of_loss(error), Cause::None, LoadReport::default());
                 self.pump(out);
             }
-            ServerSays::Lost(_) => {}
-            ServerSays::Released(cause, report) => self.server_releases(server, sid, cause, report, out),
+            ServerEvent::Lost(_) => {}
+            ServerEvent::Released(cause, report) => self.server_releases(server, sid, cause, report, out),
         }
     }
 
@@ -65,7 +65,7 @@
         }
         out.push(Effect::Answer(open.client, sid, body));
         if let Some(line) = self.servers.get(&o.server).map(|listed| &listed.line) {
-            let (host, born_ms, number) = (line.host.clone(), line.born_ms, open.number.to_string());
+            let (host, born_ms, number) = (line.host.clone(), line.started_ms, open.number.to_string());
             let (since_ms, leg) = (self.now.0 / 1_000, open.client.front == FrontKind::Iax2);
             self.note_change(|| Change::Stands(sid, KeptCall { host, born_ms, number, since_ms, leg }));
         }
@@ -95,7 +95,7 @@
         let Some(open) = self.close(sid) else { return };
         self.ends(Some(open.class), if again { Ending::Rejected } else { Ending::Failed });
         self.remember(sid);
-        out.push(Effect::Refuse { client: open.client, sid, again, wait });
+        out.push(Effect::Refuse { client: open.client, sid, retryable: again, retry_after: wait });
     }
 
     /// The caller's wait is over and the module has said nothing: the last guard of the one final answer.
@@ -112,8 +112,8 @@
             caller.owed = caller.owed.saturating_sub(1);
         }
         self.names.remove(&open.id);
-        self.deadlines.clear(&crate::core::Due::Attempt(open.id));
-        self.deadlines.clear(&crate::core::Due::Caller(open.id));
+        self.deadlines.clear(&crate::core::Deadline::Attempt(open.id));
+        self.deadlines.clear(&crate::core::Deadline::CallerTimeout(open.id));
         Some(open)
     }
 }
@@ -132,7 +132,7 @@
     match refusal {
         Refusal::Full => Outcome::Full,
         Refusal::Error => Outcome::Error,
-        Refusal::Moot => Outcome::Moot,
+        Refusal::NotSent => Outcome::Moot,
         Refusal::Reset => Outcome::Reset,
     }
 }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,6 +1,6 @@
 //! Stage 3: the decision module hears an event, and each of its actions goes to the stage that carries it out.
 
-use crate::core::{Core, Due, Effect, HostLine, Listed, Source};
+use crate::core::{Core, Deadline, DirectoryEntry, Effect, Listed, Source};
 use crate::interface::{
     Action, Event, ListKind, LoadField, LoadReport, Outcome, ServerEntry, ServerId, ServerState, Span, Time,
 };
@@ -37,8 +37,10 @@
             Action::Refuse { call, retry_after } => self.refuse(call, retry_after, out),
             Action::Fail { call } => self.fail(call, out),
             Action::Cancel { call, attempt } => self.cancel(call, attempt.0, out),
-            Action::Timer { after, token } => self.deadlines.set(self.now.plus(after), Due::Module(token)),
-            Action::Tell { to, data } => out.push(Effect::Tell(to, data)),
+            Action::Timer { after, token } => {
+                self.deadlines.set(self.now.plus(after), Deadline::Module(token))
+            }
+            Action::Tell { to, data } => out.push(Effect::SendToPeers(to, data)),
             Action::Lack { server, parts } => self.request_credit(server, parts),
             Action::Lend { to, server, parts } => self.grant_credit(to, server, parts),
             Action::Log(line) => out.push(Effect::Log(line)),
@@ -50,7 +52,7 @@
     pub(super) fn server_reports(
         &mut self,
         server: ServerId,
-        report: crate::core::Report,
+        report: crate::core::LoadValues,
         out: &mut Vec<Effect>,
     ) {
         let load = self.load_of(&report);
@@ -58,7 +60,7 @@
     }
 
     /// A report's figures in the order of the settings; -1 where one is not told.
-    pub(super) fn load_of(&self, report: &crate::core::Report) -> LoadReport {
+    pub(super) fn load_of(&self, report: &crate::core::LoadValues) -> LoadReport {
         if report.is_empty() {
             return LoadReport::default();
         }
@@ -76,46 +78,53 @@
         &mut self,
         source: Source,
         whole: bool,
-        mut hosts: Vec<HostLine>,
+        mut hosts: Vec<DirectoryEntry>,
         out: &mut Vec<Effect>,
     ) {
         if whole {
             let left = self.servers.values().filter(|l| l.source == source);
             let left = left.filter(|l| l.line.state != ServerState::Gone);
             let left = left.filter(|l| !hosts.iter().any(|h| h.host == l.line.host));
-            let left: Vec<HostLine> =
-                left.map(|l| HostLine { state: ServerState::Gone, ..l.line.clone() }).collect();
+            let left: Vec<DirectoryEntry> =
+                left.map(|l| DirectoryEntry { state: ServerState::Gone, ..l.line.clone() }).collect();
             hosts.extend(left);
         }
         self.list_held |= !hosts.is_empty();
         let mut entries = Vec::new();
         for line in hosts {
             let Some(server) = self.number_of(source, &line) else { continue };
-            let before = self.servers.get(&server).map(|l| (l.line.born_ms, l.line.dial));
-            if line.state == ServerState::Ready && before.is_none_or(|(_, dial)| dial != line.dial) {
+            let before = self.servers.get(&server).map(|l| (l.line.started_ms, l.line.address));
+            if line.state == ServerState::Ready && before.is_none_or(|(_, dial)| dial != line.address) {
                 entries.extend(self.replaced_by(server, source, &line, out));
             }
-            entries.push(entry_of(server, &HostLine { state: self.state_for_module(&line), ..line.clone() }));
+            entries.push(entry_of(
+                server,
+                &DirectoryEntry { state: self.state_for_module(&line), ..line.clone() },
+            ));
             self.publish_listing(server, &line);
             self.keep_line(source, &line);
-            let fresh = before.is_some_and(|(born, dial)| born != line.born_ms || dial != line.dial);
-            let fresh = fresh.then_some(Time(line.born_ms.saturating_mul(1000)));
-            let (dial, protocol, state) = (line.dial, line.protocol, line.state);
+            let fresh = before.is_some_and(|(born, dial)| born != line.started_ms || dial != line.address);
+            let fresh = fresh.then_some(Time(line.started_ms.saturating_mul(1000)));
+            let (address, protocol, state) = (line.address, line.protocol, line.state);
             self.servers.insert(server, Listed { line, source });
             match state {
-                ServerState::Gone => self.deadlines.set(self.now.plus(GONE), Due::Gone(server)),
-                ServerState::Ready | ServerState::Draining => self.deadlines.clear(&Due::Gone(server)),
+                ServerState::Gone => self.deadlines.set(self.now.plus(GONE), Deadline::ForgetServer(server)),
+                ServerState::Ready | ServerState::Draining => {
+                    self.deadlines.clear(&Deadline::ForgetServer(server))
+                }
             }
             match state {
-                ServerState::Ready => out.push(Effect::Reach { server, dial, protocol, fresh }),
+                ServerState::Ready => {
+                    out.push(Effect::Connect { server, address, protocol, restarted_at: fresh })
+                }
                 ServerState::Draining => {
-                    out.push(Effect::Withdraw(server));
-                    out.push(Effect::Reach { server, dial, protocol, fresh });
+                    out.push(Effect::CancelQueued(server));
+                    out.push(Effect::Connect { server, address, protocol, restarted_at: fresh });
                 }
                 ServerState::Gone => {
                     // Its calls end when it says so, dies or stays silent: the list is seconds late and may be wrong.
-                    out.push(Effect::Withdraw(server));
-                    out.push(Effect::Leave(server));
+                    out.push(Effect::CancelQueued(server));
+                    out.push(Effect::StopConnecting(server));
                 }
             }
         }
@@ -134,7 +143,7 @@
 impl Core {
     /// The number of the call server of this name. Numbers are never used twice: what is still under way for one that
     /// has left must not meet another.
-    fn number_of(&mut self, source: Source, line: &HostLine) -> Option<ServerId> {
+    fn number_of(&mut self, source: Source, line: &DirectoryEntry) -> Option<ServerId> {
         let name = (source, line.host.clone());
         if let Some(known) = self.hosts.get(&name) {
             return Some(*known);
@@ -155,10 +164,10 @@
         &mut self,
         server: ServerId,
         source: Source,
-        line: &HostLine,
+        line: &DirectoryEntry,
         out: &mut Vec<Effect>,
     ) -> Vec<ServerEntry> {
-        let at_once = |l: &Listed| l.source == source && l.line.dial == line.dial;
+        let at_once = |l: &Listed| l.source == source && l.line.address == line.address;
         let before = self.servers.iter().filter(|(id, l)| **id != server && at_once(l));
         let before: Vec<ServerId> = before.map(|(id, _)| *id).collect();
         let mut entries = Vec::new();
@@ -167,10 +176,10 @@
             let was = std::mem::replace(&mut listed.line.state, ServerState::Gone);
             if was != ServerState::Gone {
                 entries.push(entry_of(old, &listed.line));
-                self.deadlines.set(self.now.plus(GONE), Due::Gone(old));
+                self.deadlines.set(self.now.plus(GONE), Deadline::ForgetServer(old));
             }
-            out.push(Effect::Withdraw(old));
-            out.push(Effect::Replaced(old));
+            out.push(Effect::CancelQueued(old));
+            out.push(Effect::ServerReplaced(old));
         }
         entries
     }
@@ -183,7 +192,7 @@
         }
         let out_there = self.open.values().any(|open| open.out.is_some_and(|o| o.server == server));
         if out_there || self.book.any_at(server) {
-            return self.deadlines.set(self.now.plus(GONE), Due::Gone(server));
+            return self.deadlines.set(self.now.plus(GONE), Deadline::ForgetServer(server));
         }
         if let Some(listed) = self.servers.remove(&server) {
             self.note_change(|| Change::Unlisted(listed.source, listed.line.host.clone()));
@@ -191,16 +200,16 @@
             self.warnings.forget(server);
             self.hosts.remove(&(listed.source, listed.line.host));
         }
-        out.push(Effect::Forget(server));
+        out.push(Effect::ForgetServer(server));
     }
 }
 
-pub(super) fn entry_of(server: ServerId, line: &HostLine) -> ServerEntry {
+pub(super) fn entry_of(server: ServerId, line: &DirectoryEntry) -> ServerEntry {
     ServerEntry {
         server,
         cell: line.cell,
         zone: line.zone,
-        started: Time(line.born_ms.saturating_mul(1000)),
+        started: Time(line.started_ms.saturating_mul(1000)),
         state: line.state,
     }
 }
--- a/src/core/send.rs
+++ b/src/core/send.rs
@@ -1,6 +1,6 @@
 //! Stage 4: attempts go out and are taken back. The guards here hold the rules even if a decision did not.
 
-use crate::core::{Core, Due, Effect, Out, Sid};
+use crate::core::{Core, Deadline, Effect, Out, Sid};
 use crate::interface::{
     Attempt, AttemptEnd, CallId, Cause, Event, LoadReport, Outcome, ServerId, ServerState, Span,
 };
@@ -30,7 +30,7 @@
         let left = patience.map_or(left, |p| p.min(left));
         let class = self.config.classes.get(open.class).cloned().unwrap_or_else(|| "".into());
         let (number, body) = (open.number.clone(), open.body.clone());
-        self.deadlines.set(now.plus(left), Due::Attempt(call));
+        self.deadlines.set(now.plus(left), Deadline::Attempt(call));
         self.counts.sent += 1;
         out.push(Effect::Invite { server, sid, class, number, left, body });
     }
@@ -83,7 +83,7 @@
             open.unsettled.insert(o.server);
         }
         let call = open.id;
-        self.deadlines.clear(&Due::Attempt(call));
+        self.deadlines.clear(&Deadline::Attempt(call));
         let mut end = ended(call, o.attempt, o.server, outcome, cause, now.since(o.sent));
         if let Event::Ended(end) = &mut end {
             end.load = load;
--- a/src/core/take_in.rs
+++ b/src/core/take_in.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use crate::core::{Client, Core, Due, Effect, FrontKind, Open, SetUp, Sid};
-use crate::figures::Ending;
+use crate::core::{Client, Core, Deadline, Effect, FrontKind, Open, SetUp, Sid};
 use crate::interface::{CallId, Event, NewCall, Number, Span, Time};
+use crate::metrics::Ending;
 
 /// Taken off the caller's wait: what the way to the caller and the turn of the loop may cost. Guards against a
 /// final answer written just before the deadline and read just after it.
@@ -26,13 +26,18 @@
             self.counts.duplicates += 1;
             let class = self.config.classes.iter().position(|name| *name == set_up.class);
             self.ends(class, Ending::Failed);
-            return out.push(Effect::Refuse { client, sid: set_up.sid, again: false, wait: Span::default() });
+            return out.push(Effect::Refuse {
+                client,
+                sid: set_up.sid,
+                retryable: false,
+                retry_after: Span::default(),
+            });
         }
         self.counts.taken += 1;
         let id = CallId(self.next_call);
         self.next_call = self.next_call.wrapping_add(1);
         let class = self.config.classes.iter().position(|name| *name == set_up.class);
-        let longest = self.config.longest;
+        let longest = self.config.max_caller_wait;
         let out_of_range = set_up.left > Span(longest.0.saturating_add(LEFT_SLACK.0))
             || set_up.number.len() + set_up.body.len() > MOST_TEXT;
         let Some(class) = class.filter(|_| !out_of_range) else {
@@ -76,16 +81,16 @@
         if same && shared {
             open.client = client;
             self.moved(first, client);
-            return out.push(Effect::Settled(first));
+            return out.push(Effect::AnswerNoLongerOwed(first));
         }
         if first != client {
             // Guards against a leg left waiting for an answer that its namesake gets.
-            return out.push(Effect::Refuse { client, sid, again: false, wait: Span::default() });
+            return out.push(Effect::Refuse { client, sid, retryable: false, retry_after: Span::default() });
         }
         // One caller means two calls by one name: nobody could tell their answers apart.
         self.caller_gives_up(id, out);
-        out.push(Effect::Settled(client));
-        out.push(Effect::Offended(client));
+        out.push(Effect::AnswerNoLongerOwed(client));
+        out.push(Effect::ProtocolViolation(client));
     }
 
     fn hold(&mut self, sid: Sid, id: CallId, client: Client, class: usize, valid_until: Time, set_up: SetUp) {
@@ -107,6 +112,6 @@
         self.open.insert(sid, open);
         self.clients.entry(client).or_default().owed += 1;
         self.names.insert(id, sid);
-        self.deadlines.set(valid_until, Due::Caller(id));
+        self.deadlines.set(valid_until, Deadline::CallerTimeout(id));
     }
 }
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -19,9 +19,17 @@
     now: Time,
 }
 
-fn line(host: &str, cell: u16, state: ServerState, born_ms: u64) -> HostLine {
-    let dial = SocketAddr::from(([127, 0, 0, 1], 1000 + cell));
-    HostLine { host: host.into(), dial, protocol: Protocol::Sip, cell: Cell(cell), zone: 0, born_ms, state }
+fn line(host: &str, cell: u16, state: ServerState, started_ms: u64) -> DirectoryEntry {
+    let address = SocketAddr::from(([127, 0, 0, 1], 1000 + cell));
+    DirectoryEntry {
+        host: host.into(),
+        address,
+        protocol: Protocol::Sip,
+        cell: Cell(cell),
+        zone: 0,
+        started_ms,
+        state,
+    }
 }
 
 impl Drive {
@@ -45,9 +53,9 @@
             settings,
             classes: vec!["judge-call".into()],
             tenants: Vec::new(),
-            most_held: 3,
-            most_bytes: 1 << 20,
-            longest: Span::from_millis(9_000),
+            max_pending_calls: 3,
+            max_pending_bytes: 1 << 20,
+            max_caller_wait: Span::from_millis(9_000),
             seed: 1,
             fleet: None,
         };
@@ -69,7 +77,7 @@
         while let Some(at) = self.core.deadlines.next_at().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             let mut out = Vec::new();
-            self.core.sweep(self.now, &mut out);
+            self.core.expire_deadlines(self.now, &mut out);
             seen.extend(out.into_iter().map(|effect| (self.now, effect)));
         }
         self.now = end;
@@ -79,9 +87,9 @@
         let (class, number, body): (Rc<str>, Rc<str>, Rc<str>) =
             ("judge-call".into(), "7f".into(), "x".into());
         let left = Span::from_millis(left_ms);
-        let sid = Sid::numbered(n);
+        let sid = Sid::from_number(n);
         let dest = Some(Cell(0));
-        self.input(Input::Open(
+        self.input(Input::SetUp(
             CLIENT,
             SetUp { sid, class, tenant: None, left, number, dest, redialled: false, body },
         ))
@@ -92,8 +100,8 @@
         let core: Core = rmp_serde::from_slice(&held).expect("read");
         self.core = core.resume(self.core.config.clone());
     }
-    fn says(&mut self, server: ServerId, n: u64, says: ServerSays) -> Vec<Effect> {
-        self.input(Input::Server(server, Sid::numbered(n), says))
+    fn says(&mut self, server: ServerId, n: u64, says: ServerEvent) -> Vec<Effect> {
+        self.input(Input::Server(server, Sid::from_number(n), says))
     }
 }
 
@@ -108,8 +116,8 @@
     effects.into_iter().filter(|e| matches!(e, Effect::Answer(..) | Effect::Refuse { .. })).count()
 }
 
-fn full() -> ServerSays {
-    ServerSays::Refused(Refusal::Full, Cause::NoCircuit, Report::new())
+fn full() -> ServerEvent {
+    ServerEvent::Refused(Refusal::Full, Cause::NoCircuit, LoadValues::new())
 }
 
 #[test]
@@ -138,10 +146,10 @@
         server = invited(&effects);
     }
     assert!((1..=3).contains(&attempts));
-    assert_eq!((ends, drive.core.open_calls()), (1, 0));
+    assert_eq!((ends, drive.core.pending_calls()), (1, 0));
     // Nothing more is said, whatever still comes of it.
     let server = ServerId { address: 1, port: 0 };
-    assert_eq!(finals(&drive.says(server, 1, ServerSays::Answered("late".into()))), 0);
+    assert_eq!(finals(&drive.says(server, 1, ServerEvent::Answered("late".into()))), 0);
     assert!(drive.pass(30_000).iter().all(|(_, e)| finals([e]) == 0));
 }
 
@@ -153,8 +161,8 @@
     let mut drive = Drive::new(2);
     let first = invited(&drive.open(1, 9_000)).expect("sent");
     let began = drive.now;
-    let error = AttemptError { why: Broken::Ended, progress };
-    let effects = drive.says(first, 1, ServerSays::Lost(error));
+    let error = AttemptError { error: TransportError::ConnectionClosed, progress };
+    let effects = drive.says(first, 1, ServerEvent::Lost(error));
     let (at, second) = match invited(&effects) {
         Some(server) => (drive.now, server),
         None => {
@@ -195,10 +203,10 @@
 fn an_answer_that_crosses_the_cancel_is_ended_there_and_not_passed_on() {
     let mut drive = Drive::new(1);
     let server = invited(&drive.open(1, 9_000)).expect("sent");
-    let effects = drive.input(Input::Close(CLIENT, Sid::numbered(1), 16));
+    let effects = drive.input(Input::HangUp(CLIENT, Sid::from_number(1), 16));
     assert!(effects.iter().any(|e| matches!(e, Effect::Cancel(s, _) if *s == server)));
     assert_eq!(finals(&effects), 0); // who gives up is owed no answer
-    let effects = drive.says(server, 1, ServerSays::Answered("y".into()));
+    let effects = drive.says(server, 1, ServerEvent::Answered("y".into()));
     assert!(matches!(effects[..], [Effect::Bye(s, _, 16)] if s == server));
     assert_eq!(drive.core.counts().late_answers, 1);
 }
@@ -212,10 +220,10 @@
     let mut drive = Drive::new(3);
     let server = invited(&drive.open(1, 9_000)).expect("sent");
     drive.pass(20);
-    let effects = drive.says(server, 1, ServerSays::Released(cause, Report::new()));
-    let failed = |e: &Effect| matches!(e, Effect::Refuse { client: CLIENT, again: false, .. });
+    let effects = drive.says(server, 1, ServerEvent::Released(cause, LoadValues::new()));
+    let failed = |e: &Effect| matches!(e, Effect::Refuse { client: CLIENT, retryable: false, .. });
     assert!(matches!(&effects[..], [e] if failed(e)), "{effects:?}");
-    assert_eq!((drive.core.open_calls(), drive.core.standing_calls()), (0, 0));
+    assert_eq!((drive.core.pending_calls(), drive.core.established_calls()), (0, 0));
     assert!(drive.core.module.in_flight().is_empty());
     // The answer comes after all: nothing is passed on, and the call does not stay up there.
     let effects = drive.says(server, 1, answered("late"));
@@ -223,7 +231,7 @@
     let later = drive.pass(9_500);
     assert!(!later.iter().any(|(_, e)| matches!(e, Effect::Invite { .. })), "{later:?}");
     assert_eq!(finals(later.iter().map(|(_, e)| e)), 0);
-    assert_eq!(drive.core.figures().count("judge-call", Ending::Failed), 1);
+    assert_eq!(drive.core.metrics().count("judge-call", Ending::Failed), 1);
 }
 
 /// The same where the attempt has just been given up, and the call is about to go elsewhere or has gone. A late answer
@@ -238,7 +246,7 @@
     let mut elsewhere = None;
     let given_up = (0..900).any(|_| {
         drive.pass(10);
-        drive.core.open.get(&Sid::numbered(1)).is_some_and(|open| open.unsettled.contains(&first))
+        drive.core.open.get(&Sid::from_number(1)).is_some_and(|open| open.unsettled.contains(&first))
     });
     assert!(given_up);
     for (_, effect) in drive.pass(after_ms) {
@@ -248,7 +256,7 @@
     if answered_late {
         drive.says(first, 1, answered("late"));
     }
-    let effects = drive.says(first, 1, ServerSays::Released(CAUSE_CLEARED, Report::new()));
+    let effects = drive.says(first, 1, ServerEvent::Released(CAUSE_CLEARED, LoadValues::new()));
     assert_eq!(finals(&effects), usize::from(!answered_late), "{effects:?}");
     let withdrawn = effects.iter().any(|e| matches!(e, Effect::Cancel(at, _) if Some(*at) == elsewhere));
     assert_eq!(withdrawn, elsewhere.is_some() && !answered_late);
@@ -259,13 +267,13 @@
 fn a_call_whose_caller_lost_its_connection_is_withdrawn_and_one_that_stands_stays() {
     let mut drive = Drive::new(1);
     let server = invited(&drive.open(1, 9_000)).expect("sent");
-    drive.says(server, 1, ServerSays::Answered("y".into()));
+    drive.says(server, 1, ServerEvent::Answered("y".into()));
     drive.open(2, 9_000);
     let effects = drive.input(Input::ClientDown(CLIENT));
-    assert!(matches!(effects[..], [Effect::Cancel(..), Effect::Settled(_)]), "{effects:?}");
-    assert_eq!((drive.core.open_calls(), drive.core.standing_calls()), (0, 1));
+    assert!(matches!(effects[..], [Effect::Cancel(..), Effect::AnswerNoLongerOwed(_)]), "{effects:?}");
+    assert_eq!((drive.core.pending_calls(), drive.core.established_calls()), (0, 1));
     // Its release waits for a caller's connection: for one that says something, or that says nothing for a moment.
-    assert!(drive.says(server, 1, ServerSays::Released(16, Report::new())).is_empty());
+    assert!(drive.says(server, 1, ServerEvent::Released(16, LoadValues::new())).is_empty());
     drive.pass(7_900);
     let next = Client { no: 2, ..CLIENT };
     assert!(drive.input(Input::ClientUp(next)).is_empty());
@@ -279,18 +287,18 @@
 fn a_release_is_never_said_to_whoever_tests_and_is_said_a_bounded_number_of_times() {
     let mut drive = Drive::new(1);
     let server = invited(&drive.open(1, 9_000)).expect("sent");
-    drive.says(server, 1, ServerSays::Answered("y".into()));
+    drive.says(server, 1, ServerEvent::Answered("y".into()));
     drive.input(Input::ClientDown(CLIENT));
     let front = Client { no: 2, ..CLIENT };
     drive.input(Input::ClientUp(front));
-    drive.input(Input::Tested(front));
-    assert!(drive.says(server, 1, ServerSays::Released(16, Report::new())).is_empty());
+    drive.input(Input::HealthCheck(front));
+    assert!(drive.says(server, 1, ServerEvent::Released(16, LoadValues::new())).is_empty());
     assert!(drive.pass(500).is_empty());
     let mut said = 0;
     for no in 3..20 {
         let caller = Client { no, ..CLIENT };
         drive.input(Input::ClientUp(caller));
-        let effects = drive.input(Input::Close(caller, Sid::numbered(99), 16));
+        let effects = drive.input(Input::HangUp(caller, Sid::from_number(99), 16));
         said += effects.iter().filter(|e| matches!(e, Effect::Release(c, ..) if *c == caller)).count();
         drive.input(Input::ClientDown(caller));
     }
@@ -314,8 +322,8 @@
     let mut drive = Drive::new(1);
     let server = ServerId { address: 1, port: 0 };
     match way {
-        "no room" => drive.core.config.most_held = 0,
-        "emptied" => drive.core.close_at(Some(drive.now)),
+        "no room" => drive.core.config.max_pending_calls = 0,
+        "emptied" => drive.core.refuse_set_ups_from(Some(drive.now)),
         _ => {}
     }
     match way {
@@ -323,18 +331,18 @@
         "no such class" => {
             let text = |text: &str| -> Rc<str> { text.into() };
             let (class, number, body) = (text("made-up"), text("7f"), text("x"));
-            let (sid, left) = (Sid::numbered(1), Span::from_millis(900));
+            let (sid, left) = (Sid::from_number(1), Span::from_millis(900));
             let set_up = SetUp { sid, class, tenant: None, left, number, dest: None, redialled: false, body };
-            drive.input(Input::Open(CLIENT, set_up));
+            drive.input(Input::SetUp(CLIENT, set_up));
         }
         _ => drop(drive.open(1, 900)),
     }
-    let busy = ServerSays::Refused(Refusal::Error, Cause::NumberBusy, Report::new());
+    let busy = ServerEvent::Refused(Refusal::Error, Cause::NumberBusy, LoadValues::new());
     match way {
-        "answered" | "again" => drop(drive.says(server, 1, ServerSays::Answered("y".into()))),
+        "answered" | "again" => drop(drive.says(server, 1, ServerEvent::Answered("y".into()))),
         "full" => drop(drive.says(server, 1, full())),
         "busy" => drop(drive.says(server, 1, busy)),
-        "given up" => drop(drive.input(Input::Close(CLIENT, Sid::numbered(1), 16))),
+        "given up" => drop(drive.input(Input::HangUp(CLIENT, Sid::from_number(1), 16))),
         "gone" => drop(drive.input(Input::ClientDown(CLIENT))),
         _ => {}
     }
@@ -342,12 +350,12 @@
         drive.open(1, 900);
     }
     drive.pass(5_000);
-    drive.says(server, 1, ServerSays::Released(16, Report::new()));
-    use crate::figures::Ending::{Completed, Failed, Rejected};
-    let figures = drive.core.figures();
+    drive.says(server, 1, ServerEvent::Released(16, LoadValues::new()));
+    use crate::metrics::Ending::{Completed, Failed, Rejected};
+    let figures = drive.core.metrics();
     let got = [Completed, Rejected, Failed].map(|how| figures.count("judge-call", how));
     assert_eq!(got, booked);
-    assert!(!crate::figures::lines(figures, &drive.core.gauges(drive.now)).contains("made-up"));
+    assert!(!crate::metrics::format_metrics(figures, &drive.core.gauges(drive.now)).contains("made-up"));
     assert_eq!(drive.core.gauges(drive.now).pending, 0);
 }
 
@@ -356,7 +364,7 @@
 fn story(hands: bool) -> Vec<String> {
     let mut drive = Drive::new(2);
     let mut config = drive.core.config.clone();
-    (config.most_held, config.settings.cold, config.settings.cold_share) =
+    (config.max_pending_calls, config.settings.cold, config.settings.cold_share) =
         (999, Span::from_millis(14_000), 0.36);
     (config.settings.overload_factor, config.settings.overload_time) = (2.5, Span::from_millis(1_000));
     assert!(drive.core.reconfigure(config));
@@ -367,7 +375,7 @@
         let mut waiting: VecDeque<Effect> = drive.open(n, 3_000).into();
         waiting.extend(drive.pass(25).into_iter().map(|(_, effect)| effect));
         if n % 7 == 0 {
-            waiting.extend(drive.input(Input::Close(CLIENT, Sid::numbered(n / 2), 16)));
+            waiting.extend(drive.input(Input::HangUp(CLIENT, Sid::from_number(n / 2), 16)));
         }
         while let Some(effect) = waiting.pop_front() {
             if hands {
@@ -376,7 +384,7 @@
             if let Effect::Invite { server, sid, .. } = &effect {
                 let says = match (server.address, sid.0[15] % 4) {
                     (1, 0) => Some(full()),
-                    (1 | 3, _) => Some(ServerSays::Answered("y".into())),
+                    (1 | 3, _) => Some(ServerEvent::Answered("y".into())),
                     _ => None,
                 };
                 if let Some(says) = says {
@@ -415,9 +423,9 @@
     let mut drive = Drive::new(3);
     let first = invited(&drive.open(1, 9_000)).expect("sent");
     let gauges = |drive: &Drive| drive.core.gauges(drive.now);
-    let shown = |g: crate::figures::Gauges| (g.pending, g.members, g.members_unavailable);
+    let shown = |g: crate::metrics::Gauges| (g.pending, g.members, g.members_unavailable);
     assert_eq!(shown(gauges(&drive)), (1, 3, 0));
-    drive.says(first, 1, ServerSays::Answered("y".into()));
+    drive.says(first, 1, ServerEvent::Answered("y".into()));
     drive.open(2, 9_000);
     assert_eq!(shown(gauges(&drive)), (2, 3, 0), "one stands, one is owed its answer");
     // The other call's server says nothing.
@@ -436,11 +444,11 @@
         let other = Client { no: 2, ..CLIENT };
         drive.input(Input::ClientUp(other));
         let server = invited(&drive.open(1, 9_000)).expect("sent");
-        drive.says(server, 1, ServerSays::Answered("y".into()));
-        let effects = drive.says(server, 1, ServerSays::Released(16, Report::new()));
+        drive.says(server, 1, ServerEvent::Answered("y".into()));
+        let effects = drive.says(server, 1, ServerEvent::Released(16, LoadValues::new()));
         assert!(matches!(effects[..], [Effect::Release(CLIENT, _, 16)]));
         if confirmed {
-            drive.input(Input::Heard(Sid::numbered(1)));
+            drive.input(Input::ReleaseConfirmed(Sid::from_number(1)));
         }
         let effects = drive.input(Input::ClientDown(CLIENT));
         let again = effects.iter().any(|e| matches!(e, Effect::Release(c, _, 16) if *c == other));
@@ -455,7 +463,7 @@
         let server = invited(&drive.open(1, 9_000)).expect("sent");
         let hosts = vec![line("s0", 0, state, 0)];
         let effects = drive.input(Input::List { source: Source::Bulletin, whole: false, hosts });
-        assert!(effects.iter().any(|e| matches!(e, Effect::Withdraw(s) if *s == server)));
+        assert!(effects.iter().any(|e| matches!(e, Effect::CancelQueued(s) if *s == server)));
         let effects = drive.open(2, 9_000);
         assert_eq!((invited(&effects), finals(&effects)), (None, 1));
     }
@@ -467,13 +475,13 @@
 fn a_return_or_a_listing_as_gone_releases_no_call() {
     let mut drive = Drive::new(1);
     let server = invited(&drive.open(1, 9_000)).expect("sent");
-    drive.says(server, 1, ServerSays::Answered("y".into()));
+    drive.says(server, 1, ServerEvent::Answered("y".into()));
     for (state, born) in [(ServerState::Gone, 0), (ServerState::Ready, 1_000_500)] {
         let hosts = vec![line("s0", 0, state, born)];
         let effects = drive.input(Input::List { source: Source::Bulletin, whole: false, hosts });
         assert!(!effects.iter().any(|e| matches!(e, Effect::Release(..))), "{effects:?}");
     }
-    let effects = drive.input(Input::Died(server));
+    let effects = drive.input(Input::ServerDied(server));
     assert!(matches!(effects[..], [Effect::Release(CLIENT, _, CAUSE_CUT)]));
 }
 
@@ -483,7 +491,7 @@
     let hosts = vec![line("club", 1, ServerState::Ready, 0)];
     drive.input(Input::List { source: Source::DnsSd, whole: true, hosts });
     drive.input(Input::List { source: Source::DnsSd, whole: true, hosts: Vec::new() });
-    let states: Vec<_> = drive.core.listed().map(|l| (l.host.as_str(), l.state)).collect();
+    let states: Vec<_> = drive.core.listed_servers().map(|l| (l.host.as_str(), l.state)).collect();
     assert_eq!(states, [("s0", ServerState::Ready), ("club", ServerState::Gone)]);
 }
 
@@ -494,12 +502,14 @@
         assert_eq!(finals(&drive.open(n, 9_000)), 0);
     }
     let effects = drive.open(4, 9_000);
-    assert!(matches!(effects[..], [Effect::Refuse { again: true, wait, .. }] if wait > Span::default()));
-    assert_eq!(drive.core.open_calls(), 3);
+    assert!(
+        matches!(effects[..], [Effect::Refuse { retryable: true, retry_after, .. }] if retry_after > Span::default())
+    );
+    assert_eq!(drive.core.pending_calls(), 3);
 }
 
-fn answered(text: &str) -> ServerSays {
-    ServerSays::Answered(text.into())
+fn answered(text: &str) -> ServerEvent {
+    ServerEvent::Answered(text.into())
 }
 
 /// Guards against memory that grows all day: call servers are replaced by new ones throughout it.
@@ -514,7 +524,8 @@
         assert!(drive.core.servers.len() <= 22, "{} after {n} s", drive.core.servers.len());
         assert_eq!(drive.core.servers.len(), drive.core.hosts.len());
     }
-    let forgotten = drive.pass(30_000).into_iter().filter(|(_, e)| matches!(e, Effect::Forget(_))).count();
+    let forgotten =
+        drive.pass(30_000).into_iter().filter(|(_, e)| matches!(e, Effect::ForgetServer(_))).count();
     assert!(forgotten > 0);
     assert_eq!((drive.core.servers.len(), drive.core.deadlines.len()), (1, 0));
 }
@@ -533,7 +544,7 @@
             }
             Some(server) => {
                 drive.says(server, n, answered("y"));
-                drive.says(server, n, ServerSays::Released(16, Report::new()));
+                drive.says(server, n, ServerEvent::Released(16, LoadValues::new()));
             }
             None => {}
         }
@@ -554,16 +565,19 @@
     let mut drive = Drive::new(1);
     let server = invited(&drive.open(1, 9_000)).expect("sent");
     drive.says(server, 1, answered("y"));
-    let at_old = HostLine { host: "new".into(), ..line("s0", 0, ServerState::Ready, 5) };
+    let at_old = DirectoryEntry { host: "new".into(), ..line("s0", 0, ServerState::Ready, 5) };
     let news = |hosts| Input::List { source: Source::Bulletin, whole: false, hosts };
     let effects = drive.input(news(vec![at_old.clone()]));
-    assert!(effects.iter().any(|e| matches!(e, Effect::Replaced(old) if *old == server)), "{effects:?}");
-    let effects = drive.input(Input::Died(server));
+    assert!(
+        effects.iter().any(|e| matches!(e, Effect::ServerReplaced(old) if *old == server)),
+        "{effects:?}"
+    );
+    let effects = drive.input(Input::ServerDied(server));
     assert!(matches!(effects[..], [Effect::Release(CLIENT, _, CAUSE_CUT)]), "{effects:?}");
     // The list's own word of the old one comes late; the new one stays.
     for state in [ServerState::Draining, ServerState::Gone] {
         let effects = drive.input(news(vec![line("s0", 0, state, 0)]));
-        assert!(!effects.iter().any(|e| matches!(e, Effect::Replaced(_))), "{effects:?}");
+        assert!(!effects.iter().any(|e| matches!(e, Effect::ServerReplaced(_))), "{effects:?}");
     }
     let next = invited(&drive.open(2, 9_000)).expect("sent");
     assert_ne!(next, server);
@@ -577,10 +591,10 @@
     assert!(drive.says(server, 77, answered("z")).is_empty());
     assert_eq!(finals(&drive.says(server, 1, answered("y"))), 1);
     assert!(drive.says(server, 1, answered("y")).is_empty());
-    assert_eq!((drive.core.standing_calls(), drive.core.counts().unknown_answers), (1, 1));
+    assert_eq!((drive.core.established_calls(), drive.core.counts().unknown_answers), (1, 1));
     // One that crossed our giving it up must not stay up.
     let server = invited(&drive.open(2, 9_000)).expect("sent");
-    drive.input(Input::Close(CLIENT, Sid::numbered(2), 16));
+    drive.input(Input::HangUp(CLIENT, Sid::from_number(2), 16));
     let effects = drive.says(server, 2, answered("y"));
     assert!(matches!(effects[..], [Effect::Bye(..)]), "{effects:?}");
 }
@@ -597,18 +611,19 @@
     };
     let mut most = 0;
     for n in 0..4_000 {
-        drive.core.config.most_held = 50;
+        drive.core.config.max_pending_calls = 50;
         let back = n - draw(20).min(n);
-        let out = drive.core.open.get(&Sid::numbered(back)).and_then(|open| open.out);
+        let out = drive.core.open.get(&Sid::from_number(back)).and_then(|open| open.out);
         let at = out.map_or(ServerId { address: 1, port: 0 }, |o| o.server);
-        let lost = |progress| ServerSays::Lost(AttemptError { why: Broken::Ended, progress });
+        let lost =
+            |progress| ServerEvent::Lost(AttemptError { error: TransportError::ConnectionClosed, progress });
         match draw(9) {
             0 => drop(drive.says(at, back, full())),
             1 => drop(drive.says(at, back, answered("y"))),
             2 => drop(drive.says(at, back, lost(Progress::Written))),
             3 => drop(drive.says(at, back, lost(Progress::Queued))),
-            4 => drop(drive.input(Input::Close(CLIENT, Sid::numbered(back), 16))),
-            5 => drop(drive.says(at, back, ServerSays::Released(41, Report::new()))),
+            4 => drop(drive.input(Input::HangUp(CLIENT, Sid::from_number(back), 16))),
+            5 => drop(drive.says(at, back, ServerEvent::Released(41, LoadValues::new()))),
             6 if n % 50 == 0 => {
                 let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][draw(3) as usize];
                 let server = draw(3) as u16;
@@ -632,8 +647,8 @@
     let mut drive = Drive::new(2);
     let mut byes = 0;
     for n in 0..1_000 {
-        let effects = drive.input(Input::Close(CLIENT, Sid::numbered(n), 16));
-        assert!(matches!(effects.first(), Some(Effect::Heard(..))), "{effects:?}");
+        let effects = drive.input(Input::HangUp(CLIENT, Sid::from_number(n), 16));
+        assert!(matches!(effects.first(), Some(Effect::ConfirmRelease(..))), "{effects:?}");
         byes += effects.iter().filter(|e| matches!(e, Effect::Bye(..))).count();
     }
     assert_eq!(byes, 2 * 256);
@@ -648,7 +663,7 @@
     drive.says(server, 1, answered("y"));
     drive.input(Input::ClientUp(caller(2)));
     let mut set_up = SetUp {
-        sid: Sid::numbered(2),
+        sid: Sid::from_number(2),
         class: "judge-call".into(),
         tenant: None,
         left: Span::from_millis(2_000),
@@ -657,14 +672,14 @@
         redialled: false,
         body: "x".into(),
     };
-    drive.input(Input::Open(caller(2), set_up.clone()));
+    drive.input(Input::SetUp(caller(2), set_up.clone()));
     drive.says(server, 2, answered("y"));
     // One that never had a call that stood.
     drive.input(Input::ClientUp(caller(3)));
-    set_up.sid = Sid::numbered(3);
-    drive.input(Input::Open(caller(3), set_up));
+    set_up.sid = Sid::from_number(3);
+    drive.input(Input::SetUp(caller(3), set_up));
     drive.input(Input::ClientDown(CLIENT));
-    let effects = drive.says(server, 1, ServerSays::Released(16, Report::new()));
+    let effects = drive.says(server, 1, ServerEvent::Released(16, LoadValues::new()));
     assert!(matches!(effects[..], [Effect::Release(to, _, 16)] if to == caller(2)), "{effects:?}");
 }
 
@@ -690,8 +705,8 @@
     let (class, number, body): (Rc<str>, Rc<str>, Rc<str>) = ("judge-call".into(), "7f".into(), "x".into());
     let (left, dest) = (Span::from_millis(9_000), Some(Cell(1)));
     let set_up =
-        SetUp { sid: Sid::numbered(1), class, tenant: None, left, number, dest, redialled: false, body };
-    let effects = drive.input(Input::Open(CLIENT, set_up));
+        SetUp { sid: Sid::from_number(1), class, tenant: None, left, number, dest, redialled: false, body };
+    let effects = drive.input(Input::SetUp(CLIENT, set_up));
     let to = effects.iter().find_map(|e| match e {
         Effect::Invite { server, .. } => Some(*server),
         _ => None,
@@ -710,7 +725,7 @@
     let (mut drive, mail) = one_of_three();
     for step in order {
         match *step {
-            "mail" => drop(drive.input(Input::Mail(1, mail.clone()))),
+            "mail" => drop(drive.input(Input::PeerMessage(1, mail.clone()))),
             _ => listed(&mut drive),
         }
     }
@@ -724,14 +739,14 @@
 fn what_this_controller_finds_full_it_tells_the_others_within_a_round() {
     let (mut drive, _) = one_of_three();
     listed(&mut drive);
-    let sid = Sid::numbered(1);
+    let sid = Sid::from_number(1);
     assert_eq!(host_asked(&mut drive).as_deref(), Some("s1"));
     let server = drive.core.open[&sid].out.expect("out").server;
     let full =
-        ServerSays::Refused(Refusal::Full, Cause::ProcessorFullFor(Span::from_millis(3_000)), Vec::new());
+        ServerEvent::Refused(Refusal::Full, Cause::ProcessorFullFor(Span::from_millis(3_000)), Vec::new());
     drive.input(Input::Server(server, sid, full));
     let told = drive.pass(20);
-    let told = told.iter().filter(|(_, e)| matches!(e, Effect::Tell(Some(1 | 2), _)));
+    let told = told.iter().filter(|(_, e)| matches!(e, Effect::SendToPeers(Some(1 | 2), _)));
     assert!(told.count() > 0);
     let view = drive.core.fleet_view(drive.now);
     let wait = view.iter().find(|v| v.host == "s1").and_then(|v| v.newest).map(|o| o.wait);
@@ -743,9 +758,9 @@
     let (mut drive, mail) = one_of_three();
     drive.core.config.fleet = None;
     listed(&mut drive);
-    assert!(drive.input(Input::Mail(1, mail)).is_empty());
+    assert!(drive.input(Input::PeerMessage(1, mail)).is_empty());
     assert_eq!(host_asked(&mut drive).as_deref(), Some("s1"));
-    assert!(drive.pass(5_000).iter().all(|(_, effect)| !matches!(effect, Effect::Tell(..))));
+    assert!(drive.pass(5_000).iter().all(|(_, effect)| !matches!(effect, Effect::SendToPeers(..))));
     assert!(drive.core.fleet_view(drive.now).is_empty() && drive.core.fleet_counts().is_none());
 }
 
@@ -758,7 +773,7 @@
     };
     let call = KeptCall { host: "s0".into(), born_ms, number: "7f".into(), since_ms: 999_000, leg: false };
     Found {
-        calls: vec![(Sid::numbered(7), call)],
+        calls: vec![(Sid::from_number(7), call)],
         list: vec![listed("s0", 0, 999_900), listed("s1", 1, 0)],
         ..Found::default()
     }
@@ -769,7 +784,7 @@
     drive.core.config.settings.cold = Span::from_millis(14_000);
     drive.core.config.settings.cold_share = 0.36;
     let mut out = Vec::new();
-    drive.core.keep();
+    drive.core.record_changes();
     drive.core.recover(drive.now, RecoveryConfig::default(), found, &mut out);
     (drive, out)
 }
@@ -791,7 +806,7 @@
         drive.pass(50);
         let to = invited(&drive.open(n, 9_000));
         if let Some(to) = to {
-            drive.says(to, n, ServerSays::Answered("y".into()));
+            drive.says(to, n, ServerEvent::Answered("y".into()));
         }
         to == Some(cold)
     });
@@ -806,16 +821,16 @@
     #[case] stands: bool,
 ) {
     let (mut drive, out) = came_back(&records(born_ms));
-    let sid = Sid::numbered(7);
+    let sid = Sid::from_number(7);
     assert_eq!(drive.core.book.standing.contains_key(&sid), stands);
-    assert_eq!(out.iter().any(|e| matches!(e, Effect::Adopt { sid: s, .. } if *s == sid)), stands);
+    assert_eq!(out.iter().any(|e| matches!(e, Effect::RestoreCall { sid: s, .. } if *s == sid)), stands);
     let said = |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::Release(_, s, 41) if *s == sid));
     assert_eq!(said(&out), !stands);
     // The list names a later process of that name: what stood at the earlier one is over.
     let hosts = vec![line("s0", 0, ServerState::Ready, 1_000_500)];
     let told = drive.input(Input::List { source: Source::Bulletin, whole: false, hosts });
     assert_eq!(said(&told), stands);
-    let kept = drive.core.changes();
+    let kept = drive.core.take_changes();
     assert!(kept.contains(&Change::Ends(sid)), "{kept:?}");
 }
 
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -18,7 +18,7 @@
         bytes.iter().all(u8::is_ascii_hexdigit).then_some(Sid(bytes))
     }
     /// The name that a number stands for, for fronts whose wire has no such name.
-    pub fn numbered(number: u64) -> Sid {
+    pub fn from_number(number: u64) -> Sid {
         let mut bytes = [b'0'; 16];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digit = (number >> (60 - 4 * at)) & 15;
@@ -78,11 +78,12 @@
 
 /// A line of a directory.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HostLine {
+pub struct DirectoryEntry {
     /// The call server's name; stays over restarts.
     pub host: String,
     /// Its address.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// How it is spoken to.
     pub protocol: Protocol,
     /// Its number as a destination.
@@ -90,7 +91,8 @@
     /// Its zone, by position in the settings.
     pub zone: u16,
     /// Unix milliseconds of a late start, or 0.
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
     /// Its state.
     pub state: ServerState,
 }
@@ -138,32 +140,32 @@
 
 /// An attempt that ended without the call server saying so.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{why} ({progress:?})")]
+#[error("{error} ({progress:?})")]
 pub struct AttemptError {
     /// What broke.
-    pub why: Broken,
+    pub error: TransportError,
     /// How far it had come.
     pub progress: Progress,
 }
 
 /// What can break under an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum TransportError {
     /// The connection could not be made.
     #[error("no connection")]
-    Connect,
+    ConnectFailed,
     /// The connection ended.
     #[error("the connection ended")]
-    Ended,
+    ConnectionClosed,
     /// What came could not be read.
     #[error("unreadable bytes")]
-    Unreadable,
+    Malformed,
     /// Taken back before its first byte left.
     #[error("withdrawn")]
-    Withdrawn,
+    Cancelled,
     /// Nothing was acknowledged.
     #[error("not acknowledged")]
-    Silent,
+    NotAcknowledged,
 }
 
 /// A call server's reason not to set a call up.
@@ -174,23 +176,23 @@
     /// A fault, or the number is busy.
     Error,
     /// It never left.
-    Moot,
-    /// Broken on its way.
+    NotSent,
+    /// TransportError on its way.
     Reset,
 }
 
 /// Load figures as a call server told them.
-pub type Report = Vec<(LoadField, f32)>;
+pub type LoadValues = Vec<(LoadField, f32)>;
 
 /// What a call server's side says of a call.
 #[derive(Debug, Clone)]
-pub enum ServerSays {
+pub enum ServerEvent {
     /// The call stands, with this description.
     Answered(Rc<str>),
     /// The set-up was refused.
-    Refused(Refusal, Cause, Report),
+    Refused(Refusal, Cause, LoadValues),
     /// The call that stood is over, for this cause.
-    Released(u16, Report),
+    Released(u16, LoadValues),
     /// The attempt's way broke.
     Lost(AttemptError),
 }
@@ -203,19 +205,19 @@
     /// It is gone.
     ClientDown(Client),
     /// A test came in on it: this is the front that looks after controllers, and no caller.
-    Tested(Client),
+    HealthCheck(Client),
     /// A set-up came in on it.
-    Open(Client, SetUp),
+    SetUp(Client, SetUp),
     /// A caller gives a set-up up or ends its call.
-    Close(Client, Sid, u16),
+    HangUp(Client, Sid, u16),
     /// A caller has heard of a release.
-    Heard(Sid),
+    ReleaseConfirmed(Sid),
     /// A call server's side says this of a call.
-    Server(ServerId, Sid, ServerSays),
+    Server(ServerId, Sid, ServerEvent),
     /// A call server reports its load unasked.
-    Load(ServerId, Report),
+    Load(ServerId, LoadValues),
     /// A call server's process has died; its calls are cut.
-    Died(ServerId),
+    ServerDied(ServerId),
     /// News of the call servers.
     List {
         /// Who tells.
@@ -223,12 +225,12 @@
         /// Whether what is not named has left.
         whole: bool,
         /// The lines.
-        hosts: Vec<HostLine>,
+        hosts: Vec<DirectoryEntry>,
     },
     /// A datagram of a peer.
-    Mail(u16, Vec<u8>),
+    PeerMessage(u16, Vec<u8>),
     /// Time has passed.
-    Turn,
+    Tick,
 }
 
 /// What the core asks of the wires, in order.
@@ -236,25 +238,25 @@
 pub enum Effect {
     /// Tell the caller that its call stands.
     Answer(Client, Sid, Rc<str>),
-    /// Final answer: refused (`again`: trying again is harmless) or failed; how long to stay away.
+    /// Final answer: refused (`retryable`: trying again is harmless) or failed; how long to stay away.
     Refuse {
         /// Where the set-up came in.
         client: Client,
         /// The call.
         sid: Sid,
         /// Whether trying again is harmless.
-        again: bool,
+        retryable: bool,
         /// Time to stay away; zero: not said.
-        wait: Span,
+        retry_after: Span,
     },
     /// Tell the caller that its call is over.
     Release(Client, Sid, u16),
     /// Tell the caller that its release was heard.
-    Heard(Client, Sid),
+    ConfirmRelease(Client, Sid),
     /// No answer is owed on this connection for one of its set-ups any more.
-    Settled(Client),
+    AnswerNoLongerOwed(Client),
     /// This caller said what cannot be meant.
-    Offended(Client),
+    ProtocolViolation(Client),
     /// Send a set-up.
     Invite {
         /// Where to.
@@ -275,26 +277,26 @@
     /// End a call that stands.
     Bye(ServerId, Sid, u16),
     /// Keep up a way to this call server; one that has started anew knows nothing of ways made before that.
-    Reach {
+    Connect {
         /// Which.
         server: ServerId,
         /// Where it listens.
-        dial: SocketAddr,
+        address: SocketAddr,
         /// How it is spoken to.
         protocol: Protocol,
         /// When it has started anew.
-        fresh: Option<Time>,
+        restarted_at: Option<Time>,
     },
     /// Take back what has not left for this call server.
-    Withdraw(ServerId),
+    CancelQueued(ServerId),
     /// Make no more ways to this call server.
-    Leave(ServerId),
+    StopConnecting(ServerId),
     /// Another call server is at its address: its process is gone.
-    Replaced(ServerId),
+    ServerReplaced(ServerId),
     /// It has left for good: keep nothing of it.
-    Forget(ServerId),
+    ForgetServer(ServerId),
     /// A call stands there, as the records of a life before tell.
-    Adopt {
+    RestoreCall {
         /// Where.
         server: ServerId,
         /// The call.
@@ -303,7 +305,7 @@
         number: Rc<str>,
     },
     /// Send a datagram to a peer, or to all.
-    Tell(Option<u16>, Vec<u8>),
+    SendToPeers(Option<u16>, Vec<u8>),
     /// A line for the people on call.
     Log(String),
 }
--- a/src/directory/bulletin.rs
+++ b/src/directory/bulletin.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use crate::core::{HostLine, Protocol};
+use crate::core::{DirectoryEntry, Protocol};
 use crate::interface::{Cell, ServerState};
 
 /// How long a poll may stay unanswered, in milliseconds. Short, so that a connection that died silently is noticed.
@@ -33,7 +33,7 @@
     /// Whether what is not named has left.
     pub whole: bool,
     /// Its lines.
-    pub hosts: Vec<HostLine>,
+    pub hosts: Vec<DirectoryEntry>,
 }
 
 /// What an answer holds.
@@ -218,7 +218,7 @@
     }
 }
 
-fn line_of(form: HostForm, zones: &[String]) -> Result<HostLine, String> {
+fn line_of(form: HostForm, zones: &[String]) -> Result<DirectoryEntry, String> {
     let state = match form.health.as_str() {
         "ready" => ServerState::Ready,
         "draining" => ServerState::Draining,
@@ -226,13 +226,13 @@
         other => return Err(format!("host '{}': '{other}' is no state", form.host)),
     };
     let zone = zones.iter().position(|zone| *zone == form.site).and_then(|at| u16::try_from(at).ok());
-    Ok(HostLine {
+    Ok(DirectoryEntry {
         host: form.host,
-        dial: form.dial,
+        address: form.dial,
         protocol: Protocol::Sip,
         cell: Cell(form.block),
         zone: zone.unwrap_or(u16::MAX),
-        born_ms: form.born_ms,
+        started_ms: form.born_ms,
         state,
     })
 }
--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -10,7 +10,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 
-use crate::core::{HostLine, Protocol};
+use crate::core::{DirectoryEntry, Protocol};
 use crate::interface::{Cell, ServerState};
 
 /// Wait for one answer.
@@ -90,7 +90,7 @@
 }
 
 /// The line that an instance's records make, and how long it holds. `None` if they make none.
-pub fn line_of(instance: &Name, answer: &Answer, zones: &[String]) -> Option<(HostLine, Duration)> {
+pub fn line_of(instance: &Name, answer: &Answer, zones: &[String]) -> Option<(DirectoryEntry, Duration)> {
     let srv = answer.of(instance, RecordType::SRV).next()?;
     let RData::SRV(service) = &srv.data else { return None };
     let mut ttl = srv.ttl;
@@ -123,13 +123,13 @@
     };
     let number = |key: &str| pairs.get(key).and_then(|value| value.parse::<u64>().ok()).unwrap_or(0);
     let zone = pairs.get("zone").and_then(|zone| zones.iter().position(|z| z == zone));
-    let line = HostLine {
+    let line = DirectoryEntry {
         host: instance.to_ascii(),
-        dial: SocketAddr::new(ip?, service.port),
+        address: SocketAddr::new(ip?, service.port),
         protocol: Protocol::Iax2,
         cell: Cell(u16::try_from(number("cell")).ok()?),
         zone: zone.and_then(|at| u16::try_from(at).ok()).unwrap_or(u16::MAX),
-        born_ms: number("born_ms"),
+        started_ms: number("born_ms"),
         state,
     };
     Some((line, Duration::from_secs(u64::from(ttl))))
@@ -149,12 +149,12 @@
 /// What is held of the service: each instance's line until its records' life is over.
 #[derive(Debug, Default)]
 pub struct Held {
-    lines: BTreeMap<Name, (HostLine, Instant)>,
+    lines: BTreeMap<Name, (DirectoryEntry, Instant)>,
 }
 
 impl Held {
     /// A round's findings: an instance that the PTR records no longer name has left.
-    pub fn update(&mut self, named: &[Name], found: Vec<(Name, HostLine, Duration)>, now: Instant) {
+    pub fn update(&mut self, named: &[Name], found: Vec<(Name, DirectoryEntry, Duration)>, now: Instant) {
         self.lines.retain(|name, _| named.contains(name));
         for (name, line, life) in found {
             self.lines.insert(name, (line, now + life.clamp(AGAIN * 2, LONGEST)));
@@ -165,7 +165,7 @@
         self.lines.retain(|_, (_, until)| *until > now);
     }
     /// All lines.
-    pub fn lines(&self) -> Vec<HostLine> {
+    pub fn lines(&self) -> Vec<DirectoryEntry> {
         self.lines.values().map(|(line, _)| line.clone()).collect()
     }
     /// When the first of them must be looked at again.
@@ -180,7 +180,7 @@
 #[derive(Debug, Default)]
 pub struct Watch {
     held: Held,
-    told: Option<Vec<HostLine>>,
+    told: Option<Vec<DirectoryEntry>>,
     id: u16,
 }
 
@@ -198,7 +198,7 @@
     service: String,
     zones: Vec<String>,
     Watch { held, told, id }: &mut Watch,
-    mut take: impl FnMut(Vec<HostLine>),
+    mut take: impl FnMut(Vec<DirectoryEntry>),
     mut heard: impl FnMut(Result<(), DnsError>),
 ) {
     loop {
--- a/src/front/iax2/mod.rs
+++ b/src/front/iax2/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::core::{Client, FrontKind, Input, SetUp, Sid, WirePart};
+use crate::core::{Client, DeadlineOwner, FrontKind, Input, SetUp, Sid};
 use crate::front::jsonl::{CAUSE_FAILED, CAUSE_REFUSED};
 use crate::iax2::auth::{Asked, Examiner, Users};
 use crate::iax2::bounds::Bounds;
@@ -224,7 +224,7 @@
         self.next += 1;
         let client = self.next;
         let named = first.elements.variable("callid").and_then(|name| Sid::parse(&name));
-        let sid = named.unwrap_or_else(|| Sid::numbered(mixed(self.usual.seed.wrapping_add(client))));
+        let sid = named.unwrap_or_else(|| Sid::from_number(mixed(self.usual.seed.wrapping_add(client))));
         let no = self.legs.answer(from, first, Caller { client, sid }, now, &mut todo.to_callers);
         if no.is_none() {
             // No leg is left for it: it hears so at once, and nothing is kept of it.
@@ -238,7 +238,7 @@
         self.of_client.insert(client, no);
         let client = Client { front: FrontKind::Iax2, no: client };
         todo.inputs.push(Input::ClientUp(client));
-        todo.inputs.push(Input::Open(client, set_up));
+        todo.inputs.push(Input::SetUp(client, set_up));
     }
 
     /// A caller has said who he is. Whatever is wrong, he hears the same.
@@ -302,7 +302,7 @@
                 let cause = frame.elements.number(ie::CAUSE_CODE).and_then(|c| u16::try_from(c).ok());
                 let client = Client { front: FrontKind::Iax2, no: caller.client };
                 let cause = cause.unwrap_or(CAUSE_CLEARED);
-                todo.inputs.push(Input::Close(client, caller.sid, cause));
+                todo.inputs.push(Input::HangUp(client, caller.sid, cause));
                 self.legs.end(no, now);
                 self.lost(caller, todo);
             }
@@ -388,7 +388,7 @@
     fn arm(&self, no: u16, todo: &mut Todo) {
         let due = self.legs.next_due(no).into_iter().chain(self.answers_until(no)).min();
         if let Some(at) = due {
-            todo.dues.push((at, WirePart::IaxFront, u64::from(no)));
+            todo.dues.push((at, DeadlineOwner::Iax2Front, u64::from(no)));
         }
     }
 }
--- a/src/front/iax2/registers.rs
+++ b/src/front/iax2/registers.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{mixed, Caller, Callers};
-use crate::core::{Sid, WirePart};
+use crate::core::{DeadlineOwner, Sid};
 use crate::iax2::auth::Account;
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
 use crate::iax2::registrant::{Due, Registrant, ASKED_SECS};
@@ -50,7 +50,7 @@
 
     fn arm_registrant(&self, place: usize, todo: &mut Todo) {
         if let Some(registrant) = self.registers.all.get(place) {
-            todo.dues.push((registrant.next_at(), WirePart::IaxFront, FIRST + place as u64));
+            todo.dues.push((registrant.next_at(), DeadlineOwner::Iax2Front, FIRST + place as u64));
         }
     }
 
@@ -74,7 +74,7 @@
             return;
         };
         self.next += 1;
-        let caller = Caller { client: self.next, sid: Sid::numbered(0) };
+        let caller = Caller { client: self.next, sid: Sid::from_number(0) };
         let elements = Elements::default()
             .with(ie::USERNAME, account.username.as_bytes())
             .with(ie::REFRESH, &ASKED_SECS.to_be_bytes())
--- a/src/front/iax2/registration.rs
+++ b/src/front/iax2/registration.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use super::{Callers, Examined, Want, ANSWERS_WITHIN, CAUSE_NOT_LET_IN};
-use crate::core::{HostLine, Input, Protocol, Source, WirePart};
+use crate::core::{DeadlineOwner, DirectoryEntry, Input, Protocol, Source};
 use crate::front::iax2::door::answer;
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
 use crate::iax2::registrar::Place;
@@ -95,7 +95,7 @@
 
     fn arm_expiry(&self, todo: &mut Todo) {
         if let Some(at) = self.registrar.next_at() {
-            todo.dues.push((at, WirePart::IaxFront, EXPIRY));
+            todo.dues.push((at, DeadlineOwner::Iax2Front, EXPIRY));
         }
     }
 
@@ -104,13 +104,13 @@
         let line = |(user, place): (&str, &Place)| {
             let server = self.examiner.as_ref()?.server(user)?;
             let zone = self.usual.zones.iter().position(|zone| *zone == server.zone);
-            Some(HostLine {
+            Some(DirectoryEntry {
                 host: user.to_owned(),
-                dial: place.at,
+                address: place.at,
                 protocol: Protocol::Iax2,
                 cell: Cell(server.cell),
                 zone: zone.and_then(|at| u16::try_from(at).ok()).unwrap_or(u16::MAX),
-                born_ms: place.born.0 / 1000,
+                started_ms: place.born.0 / 1000,
                 state: ServerState::Ready,
             })
         };
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -23,7 +23,9 @@
 use tokio::task::spawn_local;
 
 use crate::config::{Iax2Config, InstanceConfig, Limits, ReplicationConfig};
-use crate::core::{Client, Core, Effect, FrontKind, HostLine, Input, Protocol, WirePart, CAUSE_CLEARED};
+use crate::core::{
+    Client, Core, DeadlineOwner, DirectoryEntry, Effect, FrontKind, Input, Protocol, CAUSE_CLEARED,
+};
 use crate::counters::Counters;
 use crate::directory::bulletin::Cursor;
 use crate::drain::Drain;
@@ -225,8 +227,8 @@
         let gauges = self.gauges(&state);
         Counters {
             name: self.0.bound_to.name.clone(),
-            open: state.core.open_calls(),
-            standing: state.core.standing_calls(),
+            open: state.core.pending_calls(),
+            standing: state.core.established_calls(),
             pending: gauges.pending,
             members: gauges.members,
             members_unavailable: gauges.members_unavailable,
@@ -279,8 +281,8 @@
     }
 
     /// The call servers as listed.
-    pub fn servers(&self) -> Vec<HostLine> {
-        self.0.state.borrow().core.listed().cloned().collect()
+    pub fn servers(&self) -> Vec<DirectoryEntry> {
+        self.0.state.borrow().core.listed_servers().cloned().collect()
     }
 
     // ---- Inputs and effects ------------------------------------------------------------------
@@ -363,7 +365,7 @@
                     let number = self.0.state.borrow().peers.number_of(from);
                     if let Some(number) = number {
                         self.0.state.borrow_mut().tally.mail += 1;
-                        let mail = Input::Mail(number, bytes[..n].to_vec());
+                        let mail = Input::PeerMessage(number, bytes[..n].to_vec());
                         self.guarded(|_, todo| todo.inputs.push(mail));
                     }
                 }
@@ -377,15 +379,15 @@
 impl State {
     fn sweep(&mut self, now: Time, todo: &mut Todo) {
         let mut effects = Vec::new();
-        let wires = self.core.sweep(now, &mut effects);
+        let wires = self.core.expire_deadlines(now, &mut effects);
         for (part, key) in wires {
             match part {
-                WirePart::Guests => self.look_at(key, now, todo),
-                WirePart::SipFirstWord => self.sip.carries(key),
-                WirePart::SipReach => self.sip.due(key, todo),
-                WirePart::SipWatch => self.sip.watch(key, now, todo),
-                WirePart::IaxFront => self.callers.due(key, now, todo),
-                WirePart::IaxServers => self.servers.due(key, now, todo),
+                DeadlineOwner::ClientConnections => self.look_at(key, now, todo),
+                DeadlineOwner::SipFirstMessage => self.sip.carries(key),
+                DeadlineOwner::SipReconnect => self.sip.due(key, todo),
+                DeadlineOwner::SipSilence => self.sip.watch(key, now, todo),
+                DeadlineOwner::Iax2Front => self.callers.due(key, now, todo),
+                DeadlineOwner::Iax2Upstream => self.servers.due(key, now, todo),
             }
         }
         self.carry_out(effects, now, todo);
@@ -407,7 +409,7 @@
         send_all(self.callers_socket.as_deref(), &mut todo.to_callers);
         send_all(self.servers_socket.as_deref(), &mut todo.to_servers);
         for (at, part, key) in todo.dues.drain(..) {
-            self.core.deadlines.set(at, crate::core::Due::Wire(part, key));
+            self.core.deadlines.set(at, crate::core::Deadline::ProtocolAdapter(part, key));
         }
         self.keep();
     }
@@ -422,13 +424,13 @@
                     }
                     FrontKind::Iax2 => self.callers.ready(client.no, &body, now, todo),
                 },
-                Effect::Refuse { client, sid, again, wait } => match client.front {
+                Effect::Refuse { client, sid, retryable, retry_after } => match client.front {
                     FrontKind::JsonLines => {
-                        let cause = if again { jsonl::CAUSE_REFUSED } else { jsonl::CAUSE_FAILED };
-                        self.guests.write(client.no, jsonl::close(sid, cause, wait));
+                        let cause = if retryable { jsonl::CAUSE_REFUSED } else { jsonl::CAUSE_FAILED };
+                        self.guests.write(client.no, jsonl::close(sid, cause, retry_after));
                         self.settled(client.no, true, now, todo);
                     }
-                    FrontKind::Iax2 => self.callers.refuse(client.no, again, wait, now, todo),
+                    FrontKind::Iax2 => self.callers.refuse(client.no, retryable, retry_after, now, todo),
                 },
                 Effect::Release(client, sid, cause) => match client.front {
                     FrontKind::JsonLines => {
@@ -436,18 +438,19 @@
                     }
                     FrontKind::Iax2 => self.callers.release(client.no, cause, now, todo),
                 },
-                Effect::Heard(Client { front: FrontKind::JsonLines, no }, sid) => {
+                Effect::ConfirmRelease(Client { front: FrontKind::JsonLines, no }, sid) => {
                     self.guests.write(no, jsonl::closed(sid));
                 }
-                Effect::Settled(Client { front: FrontKind::JsonLines, no }) => {
+                Effect::AnswerNoLongerOwed(Client { front: FrontKind::JsonLines, no }) => {
                     self.settled(no, false, now, todo);
                 }
-                Effect::Offended(Client { front: FrontKind::JsonLines, no }) => {
+                Effect::ProtocolViolation(Client { front: FrontKind::JsonLines, no }) => {
                     if let Some(at) = self.guests.offends(no, true, now) {
-                        todo.dues.push((at, WirePart::Guests, no));
+                        todo.dues.push((at, DeadlineOwner::ClientConnections, no));
                     }
                 }
-                Effect::Heard(..) | Effect::Settled(_) | Effect::Offended(_) => {}
+                Effect::ConfirmRelease(..) | Effect::AnswerNoLongerOwed(_) | Effect::ProtocolViolation(_) => {
+                }
                 Effect::Invite { server, sid, class, number, left, body } => match self.protocol(server) {
                     Protocol::Sip => {
                         self.sip.invite(server, sid, &class, &number, left, &body, now, todo);
@@ -464,27 +467,27 @@
                     self.sip.bye(server, sid, cause, now, todo);
                     self.servers.hang_up(server, sid, cause, now, todo);
                 }
-                Effect::Reach { server, dial, protocol: Protocol::Sip, fresh } => {
-                    self.sip.reach(server, dial, fresh, todo);
+                Effect::Connect { server, address, protocol: Protocol::Sip, restarted_at } => {
+                    self.sip.reach(server, address, restarted_at, todo);
                 }
-                Effect::Reach { server, dial, protocol: Protocol::Iax2, fresh } => {
-                    self.servers.reach(server, dial, fresh, now, todo);
+                Effect::Connect { server, address, protocol: Protocol::Iax2, restarted_at } => {
+                    self.servers.reach(server, address, restarted_at, now, todo);
                 }
-                Effect::Withdraw(server) => {
+                Effect::CancelQueued(server) => {
                     self.sip.withdraw(server, todo);
                     self.servers.withdraw(server, now, todo);
                 }
-                Effect::Leave(server) => self.sip.leave(server),
-                Effect::Replaced(server) => {
+                Effect::StopConnecting(server) => self.sip.leave(server),
+                Effect::ServerReplaced(server) => {
                     self.sip.replaced(server, todo);
                     self.servers.replaced(server, now, todo);
                 }
-                Effect::Forget(server) => {
+                Effect::ForgetServer(server) => {
                     self.sip.forget(server);
                     self.servers.forget(server);
                 }
-                Effect::Adopt { server, sid, number } => self.sip.adopt(server, sid, number, now, todo),
-                Effect::Tell(to, data) => {
+                Effect::RestoreCall { server, sid, number } => self.sip.adopt(server, sid, number, now, todo),
+                Effect::SendToPeers(to, data) => {
                     if let Some(socket) = &self.peer_socket {
                         self.peers.tell(socket, to, &data);
                     }
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -7,7 +7,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 use crate::config::Limits;
-use crate::core::{Client, FrontKind, Input, WirePart};
+use crate::core::{Client, DeadlineOwner, FrontKind, Input};
 use crate::drain::Door;
 use crate::front::jsonl::{self, Line as Said, LineError};
 use crate::instance::handover::{Doors, Side};
@@ -39,23 +39,23 @@
 impl State {
     /// Looks whether a caller's connection has stayed for too long without use.
     pub(super) fn look_at(&mut self, no: u64, now: Time, todo: &mut Todo) {
-        let carries = self.core.carries(client_of(no));
-        self.guests.probe(no, || self.core.owed_on(client_of(no)).map(jsonl::trying));
+        let carries = self.core.has_established_calls(client_of(no));
+        self.guests.probe(no, || self.core.pending_call_on(client_of(no)).map(jsonl::trying));
         // Guards against a set-up of which a part is read, and which is too old to be made again when our close crosses its
         // rest. One that does not become whole ends its connection by itself.
         let begun = self.lines.get(&(Side::Caller, no)).is_some_and(|line| line.has_begun());
         if begun && self.guests.waits_for_the_rest(no, now) {
-            return todo.dues.push((now.plus(REST_LOOK), WirePart::Guests, no));
+            return todo.dues.push((now.plus(REST_LOOK), DeadlineOwner::ClientConnections, no));
         }
         if let Some(came) = self.guests.owed_nothing(no) {
             match self.drain.look(came, carries, now) {
                 Door::Stays => {}
-                Door::Again(at) => return todo.dues.push((at, WirePart::Guests, no)),
+                Door::Again(at) => return todo.dues.push((at, DeadlineOwner::ClientConnections, no)),
                 Door::Ends => return self.guests.finish(no),
             }
         }
         match self.guests.look(no, carries, now) {
-            Look::Again(at) => todo.dues.push((at, WirePart::Guests, no)),
+            Look::Again(at) => todo.dues.push((at, DeadlineOwner::ClientConnections, no)),
             Look::Ends => self.tally.expired += 1,
         }
     }
@@ -64,7 +64,7 @@
 impl State {
     /// How many connections callers may hold beside those to the call servers that are listed.
     pub(super) fn share_descriptors(&mut self, limits: Limits) {
-        self.guests.set_most(limits.callers_beside(self.core.listed().count()));
+        self.guests.set_most(limits.callers_beside(self.core.listed_servers().count()));
     }
 
     /// Callers' connections give way to those to call servers, the least used first. Guards against idle connections that
@@ -72,14 +72,14 @@
     pub(super) fn yield_to_links(&mut self, limits: Limits, parting: usize) {
         self.share_descriptors(limits);
         let State { guests, core, .. } = self;
-        while !guests.fits(parting) && guests.make_room(|no| core.carries(client_of(no))) {}
+        while !guests.fits(parting) && guests.make_room(|no| core.has_established_calls(client_of(no))) {}
     }
 
     /// One of a connection's set-ups needs no answer any more; while callers are sent away it may end then.
     pub(super) fn settled(&mut self, no: u64, told: bool, now: Time, todo: &mut Todo) {
         self.guests.settled(no, told, now);
         if !self.drain.works() {
-            todo.dues.push((now, WirePart::Guests, no));
+            todo.dues.push((now, DeadlineOwner::ClientConnections, no));
         }
     }
 }
@@ -125,7 +125,8 @@
             let mut state = self.0.state.borrow_mut();
             let parting = self.0.parting.get();
             let State { guests, core, tally, .. } = &mut *state;
-            let room = guests.has_room(parting) || guests.make_room(|no| core.carries(client_of(no)));
+            let room =
+                guests.has_room(parting) || guests.make_room(|no| core.has_established_calls(client_of(no)));
             tally.turned_away += u64::from(!room);
             room
         };
@@ -146,7 +147,7 @@
             state.lines.insert((Side::Caller, no), line.clone());
             let first_look = state.guests.add(no, queue.clone(), now);
             let until = state.drain.new_ones_until().map_or(first_look, |_| now);
-            todo.dues.push((until, WirePart::Guests, no));
+            todo.dues.push((until, DeadlineOwner::ClientConnections, no));
             todo.inputs.push(Input::ClientUp(client_of(no)));
         });
         self.serve_client(no, line);
@@ -190,8 +191,8 @@
     /// whose callers said so in the moment when their connection was closed here.
     fn last_line(&self, no: u64, bytes: &[u8]) {
         match jsonl::parse(bytes) {
-            Ok(Said::Close(sid, cause)) => self.input(Input::Close(client_of(no), sid, cause)),
-            Ok(Said::Closed(sid)) => self.input(Input::Heard(sid)),
+            Ok(Said::Close(sid, cause)) => self.input(Input::HangUp(client_of(no), sid, cause)),
+            Ok(Said::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
             _ => {}
         }
     }
@@ -202,17 +203,17 @@
         match jsonl::parse(bytes) {
             Ok(Said::Open(set_up)) => self.turn(|state, todo| {
                 state.guests.owes(no, now);
-                todo.inputs.push(Input::Open(client, set_up));
+                todo.inputs.push(Input::SetUp(client, set_up));
             }),
             Ok(Said::Close(sid, cause)) => self.turn(|state, todo| {
                 state.guests.heard(no, now);
-                todo.inputs.push(Input::Close(client, sid, cause));
+                todo.inputs.push(Input::HangUp(client, sid, cause));
             }),
-            Ok(Said::Closed(sid)) => self.input(Input::Heard(sid)),
+            Ok(Said::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
             Ok(Said::Probe(sid)) => self.turn(|state, todo| {
                 let passed = state.core.ready() && state.drain.works();
                 state.guests.write(no, jsonl::probed(&sid, passed));
-                todo.inputs.push(Input::Tested(client));
+                todo.inputs.push(Input::HealthCheck(client));
             }),
             Ok(Said::Other) => {}
             Err(error) => self.turn(|state, todo| {
@@ -221,12 +222,12 @@
                     LineError::Lacks(sid, _) => {
                         let line = jsonl::close(*sid, jsonl::CAUSE_INVALID, Span::default());
                         // One whose name is that of a call owed an answer on this connection must not look like it.
-                        !state.core.owes(*sid) && state.guests.write(no, line)
+                        !state.core.awaits_answer(*sid) && state.guests.write(no, line)
                     }
                     LineError::Form(_) | LineError::Name => false,
                 };
                 if let Some(at) = state.guests.offends(no, answerable, now) {
-                    todo.dues.push((at, WirePart::Guests, no));
+                    todo.dues.push((at, DeadlineOwner::ClientConnections, no));
                 }
             }),
         }
--- a/src/instance/handover.rs
+++ b/src/instance/handover.rs
@@ -147,7 +147,8 @@
 
 /// What is held, for the people on call.
 fn summary(state: &State) -> String {
-    let (open, standing, lines) = (state.core.open_calls(), state.core.standing_calls(), state.lines.len());
+    let (open, standing, lines) =
+        (state.core.pending_calls(), state.core.established_calls(), state.lines.len());
     format!("{open} calls that wait, {standing} that stand, {lines} connections")
 }
 
@@ -178,7 +179,7 @@
         let mut state = self.0.state.borrow_mut();
         let state = &mut *state;
         state.core = held.core.resume(config.core.clone());
-        let callers = limits.callers_beside(state.core.listed().count());
+        let callers = limits.callers_beside(state.core.listed_servers().count());
         state.guests = held.guests.resume(callers, &self.0.caller_bytes);
         state.next_client = held.next_client;
         let stands = |no: u64| lines.contains_key(&(Side::Server, no));
@@ -204,7 +205,7 @@
             Phase::Emptying { ends: false, .. } => held.drain,
             _ => Drain::default(),
         };
-        state.core.close_at(state.drain.refuses_from());
+        state.core.refuse_set_ups_from(state.drain.refuses_from());
         tracing::info!("taken over: {}", summary(state));
         *self.0.heard.borrow_mut() = Cursor::at(held.after);
         left
--- a/src/instance/keep.rs
+++ b/src/instance/keep.rs
@@ -126,7 +126,7 @@
     /// Hands over what is to be kept.
     pub(super) fn keep(&mut self) {
         let Some(keeper) = &mut self.keeper else { return };
-        let changes = self.core.changes();
+        let changes = self.core.take_changes();
         if !changes.is_empty() {
             keeper.write(changes);
         }
@@ -139,10 +139,10 @@
         let now = self.0.clock.now();
         self.turn(|state, todo| {
             let Some(found) = state.keeper.as_mut().and_then(|keeper| keeper.found.take()) else { return };
-            let release = state.core.release();
+            let release = state.core.resend_delay();
             let config = RecoveryConfig { release, ..RecoveryConfig::default() };
             let mut effects = Vec::new();
-            state.core.keep();
+            state.core.record_changes();
             state.core.recover(now, config, &found, &mut effects);
             state.carry_out(effects, now, todo);
         });
--- a/src/instance/notices.rs
+++ b/src/instance/notices.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::instance::Instance;
-use crate::outages::Say;
+use crate::outages::OutageEvent;
 
 /// What may fail: its kind, and where it is.
 pub(super) type Party = (&'static str, SocketAddr);
@@ -15,19 +15,19 @@
         let say = self.0.outages.borrow_mut().failed((party, at), self.0.clock.now());
         let instance = self.name();
         match say {
-            Some(Say::Fails) => tracing::warn!(instance, party, %at, %why, "fails"),
-            Some(Say::StillFails(times, span)) => {
+            Some(OutageEvent::Started) => tracing::warn!(instance, party, %at, %why, "fails"),
+            Some(OutageEvent::Reminder(times, span)) => {
                 let seconds = span.secs().round();
                 tracing::warn!(instance, party, %at, %why, times, seconds, "still fails");
             }
-            Some(Say::Back(..)) | None => {}
+            Some(OutageEvent::Recovered(..)) | None => {}
         }
     }
 
     /// The same works.
     pub(super) fn works(&self, (party, at): Party) {
-        let say = self.0.outages.borrow_mut().works(&(party, at), self.0.clock.now());
-        if let Some(Say::Back(times, span)) = say {
+        let say = self.0.outages.borrow_mut().recovered(&(party, at), self.0.clock.now());
+        if let Some(OutageEvent::Recovered(times, span)) = say {
             let seconds = (span.secs() * 10.0).round() / 10.0;
             tracing::info!(instance = self.name(), party, %at, times, seconds, "is back");
         }
--- a/src/instance/operators.rs
+++ b/src/instance/operators.rs
@@ -5,17 +5,17 @@
 use tokio::net::TcpListener;
 
 use crate::console::{self, Answer, Call};
-use crate::core::WirePart;
+use crate::core::DeadlineOwner;
 use crate::drain::{AboutToEnd, Drain, Held, Phase};
-use crate::figures::{self, Gauges};
 use crate::instance::{Instance, State};
 use crate::interface::Time;
+use crate::metrics::{self, Gauges};
 
 impl State {
     /// What is held that a process which ends must see to. `parting`: connections that wait for the other side.
     fn held(&self, parting: usize) -> Held {
         let read = self.guests.all_written() && self.callers.all_acked() && self.servers.all_acked();
-        match (self.core.open_calls(), read, self.guests.len() + parting) {
+        match (self.core.pending_calls(), read, self.guests.len() + parting) {
             (1.., ..) => Held::Calls,
             (0, false, _) => Held::Answers,
             (0, true, 1..) => Held::Connections,
@@ -72,8 +72,10 @@
             if state.drain == before {
                 return;
             }
-            state.core.close_at(state.drain.refuses_from());
-            todo.dues.extend(state.guests.numbers().into_iter().map(|no| (now, WirePart::Guests, no)));
+            state.core.refuse_set_ups_from(state.drain.refuses_from());
+            todo.dues.extend(
+                state.guests.numbers().into_iter().map(|no| (now, DeadlineOwner::ClientConnections, no)),
+            );
         });
     }
 
@@ -99,17 +101,22 @@
     /// Whether the process, told to end, may do so.
     pub(super) fn may_leave(&self) -> bool {
         let (held, state) = (self.held(), self.0.state.borrow());
-        state.drain.may_leave(held, state.core.longest(), self.0.clock.now())
+        state.drain.may_leave(held, state.core.max_caller_wait(), self.0.clock.now())
     }
 
     /// The figures, one a line.
     pub fn figures(&self) -> String {
         let state = self.0.state.borrow();
-        let mut text = figures::lines(state.core.figures(), &self.gauges(&state));
+        let mut text = metrics::format_metrics(state.core.metrics(), &self.gauges(&state));
         if let (Some(counts), Some(credit)) = (state.core.fleet_counts(), state.core.credit_counts()) {
             let now = self.0.clock.now();
             let peers = state.core.fleet_peers();
-            text.push_str(&figures::fleet_lines(&counts, &credit, peers, &state.core.fleet_view(now)));
+            text.push_str(&metrics::format_fleet_metrics(
+                &counts,
+                &credit,
+                peers,
+                &state.core.fleet_view(now),
+            ));
         }
         if let Some(keeper) = &state.keeper {
             text.push_str(&keeper.lines());
--- a/src/instance/reload.rs
+++ b/src/instance/reload.rs
@@ -50,7 +50,7 @@
                 config.known = Page::default(); // read by the zones of the other file; the bulletin tells it too
                 config.connect_timeout = span_of(self.0.connect_timeout.get());
             }
-            let fleet = state.core.same_fleet(config.core.fleet.as_ref());
+            let fleet = state.core.fleet_config_matches(config.core.fleet.as_ref());
             if !fleet {
                 config.peers = state.peers.clone(); // they go by the numbers that the others know them by
             }
--- a/src/figures.rs
+++ b/src/metrics.rs
@@ -22,16 +22,16 @@
 /// The requests of each class by their ending. Classes come from the settings alone: whatever name a caller makes up
 /// finds no place here.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Figures(Vec<(Rc<str>, [u64; 3])>);
+pub struct RequestMetrics(Vec<(Rc<str>, [u64; 3])>);
 
-impl Figures {
+impl RequestMetrics {
     /// Nothing yet, for these classes in the settings' order.
-    pub fn of(classes: &[Rc<str>]) -> Figures {
-        Figures(classes.iter().map(|class| (class.clone(), [0; 3])).collect())
+    pub fn for_classes(classes: &[Rc<str>]) -> RequestMetrics {
+        RequestMetrics(classes.iter().map(|class| (class.clone(), [0; 3])).collect())
     }
 
     /// A request of the class at this place has ended.
-    pub fn book(&mut self, class: usize, how: Ending) {
+    pub fn record(&mut self, class: usize, how: Ending) {
         if let Some((_, counts)) = self.0.get_mut(class) {
             counts[how as usize] += 1;
         }
@@ -57,12 +57,12 @@
 }
 
 /// The figures as operators read them, one a line.
-pub fn lines(figures: &Figures, gauges: &Gauges) -> String {
+pub fn format_metrics(metrics: &RequestMetrics, gauges: &Gauges) -> String {
     let mut text = String::new();
     let mut put = |name: &str, value: u64, kind: char| {
         let _ = writeln!(text, "controller.{name}:{value}|{kind}");
     };
-    for (class, counts) in &figures.0 {
+    for (class, counts) in &metrics.0 {
         // A name that would end its line or its field is still one name.
         let class: String = class
             .chars()
@@ -81,7 +81,7 @@
 
 /// The fleet's figures, one per line: counters of datagrams and credit, the number of peers, and the newest observation
 /// of each call server with its age. A call server without a recent observation has none.
-pub fn fleet_lines(
+pub fn format_fleet_metrics(
     counts: &FleetCounts,
     credit: &CreditCounts,
     peers: PeerCounts,
--- a/src/net/queue.rs
+++ b/src/net/queue.rs
@@ -284,10 +284,10 @@
         let budget = Budget::new(1_000);
         let queues: Vec<WriteQueue> = (0..4).map(|_| WriteQueue::within(&budget)).collect();
         let push = |n: usize, sid| queues[n].push(Bytes::from(vec![0; 300]), sid);
-        let sid = Some(Sid::numbered(1));
+        let sid = Some(Sid::from_number(1));
         assert!(push(0, sid) && push(1, None) && push(2, None));
         assert!(!push(3, None), "each is within its own bound, all together are not");
-        assert!(queues[0].take_back(Sid::numbered(1)) && push(3, None));
+        assert!(queues[0].take_back(Sid::from_number(1)) && push(3, None));
         drop(queues);
         assert!(WriteQueue::within(&budget).push(Bytes::from(vec![0; 1_000]), None));
         budget.set_most(10);
--- a/src/recovery/records.rs
+++ b/src/recovery/records.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::core::{HostLine, Sid, Source};
+use crate::core::{DirectoryEntry, Sid, Source};
 use crate::interface::{Span, Time};
 
 const CALL: &[u8] = b"call/";
@@ -37,7 +37,7 @@
     /// Who told it.
     pub source: Source,
     /// The line.
-    pub line: HostLine,
+    pub line: DirectoryEntry,
     /// When it was told, in Unix milliseconds.
     pub told_ms: u64,
 }
@@ -140,14 +140,14 @@
     use crate::interface::{Cell, ServerState};
 
     fn line(host: &str, state: ServerState, told_ms: u64) -> KeptLine {
-        let dial = SocketAddr::from(([127, 0, 0, 1], 7000));
-        let line = HostLine {
+        let address = SocketAddr::from(([127, 0, 0, 1], 7000));
+        let line = DirectoryEntry {
             host: host.to_owned(),
-            dial,
+            address,
             protocol: Protocol::Sip,
             cell: Cell(3),
             zone: 1,
-            born_ms: 5,
+            started_ms: 5,
             state,
         };
         KeptLine { source: Source::Bulletin, line, told_ms }
@@ -157,7 +157,7 @@
     fn what_is_kept_is_found_again_and_what_has_ended_is_not() {
         let call =
             KeptCall { host: "s0".into(), born_ms: 9, number: "7f".into(), since_ms: 1_000, leg: false };
-        let (one, other, third) = (Sid::numbered(1), Sid::numbered(2), Sid::numbered(3));
+        let (one, other, third) = (Sid::from_number(1), Sid::from_number(2), Sid::from_number(3));
         let kept = line("s0", ServerState::Ready, 77);
         let changes = [
             Change::Stands(one, call.clone()),
--- a/src/upstream/iax2/mod.rs
+++ b/src/upstream/iax2/mod.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use crate::core::{AttemptError, Broken, Input, Progress, Refusal, Report, ServerSays, Sid, WirePart};
+use crate::core::{
+    AttemptError, DeadlineOwner, Input, LoadValues, Progress, Refusal, ServerEvent, Sid, TransportError,
+};
 use crate::iax2::auth::Account;
 use crate::iax2::describe::{describe, description_in};
 use crate::iax2::frame::{ie, parse, unsupported, Control, Datagram, Elements, Frame, Iax, Kind};
@@ -75,7 +77,7 @@
         let old: Vec<(Key, u16)> = self.calls.iter().filter(of_old).map(|(k, (no, _))| (*k, *no)).collect();
         for (key, no) in old {
             self.legs.forget_sent(no);
-            self.broken(key, Broken::Ended, now, todo);
+            self.broken(key, TransportError::ConnectionClosed, now, todo);
         }
     }
 
@@ -85,7 +87,7 @@
         let old: Vec<(Key, u16)> = of_old.map(|(key, (no, _))| (*key, *no)).collect();
         for (key, no) in old {
             self.legs.forget_sent(no);
-            self.broken(key, Broken::Ended, now, todo);
+            self.broken(key, TransportError::ConnectionClosed, now, todo);
         }
     }
 
@@ -109,8 +111,9 @@
     ) {
         let dial = self.dials.get(&server).copied();
         let Some(no) = dial.and_then(|dial| self.legs.call(dial, (server, sid), now)) else {
-            let error = AttemptError { why: Broken::Connect, progress: Progress::NotConnected };
-            return todo.inputs.push(Input::Server(server, sid, ServerSays::Lost(error)));
+            let error =
+                AttemptError { error: TransportError::ConnectFailed, progress: Progress::NotConnected };
+            return todo.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
         };
         let elements = Elements::default()
             .with(ie::VERSION, &VERSION)
@@ -156,8 +159,8 @@
         for sid in unheard {
             self.counts.withdrawn += 1;
             self.hang_up(server, sid, CAUSE_CLEARED, now, todo);
-            let error = AttemptError { why: Broken::Withdrawn, progress: Progress::Written };
-            todo.inputs.push(Input::Server(server, sid, ServerSays::Lost(error)));
+            let error = AttemptError { error: TransportError::Cancelled, progress: Progress::Written };
+            todo.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
         }
     }
 
@@ -175,7 +178,7 @@
         let told = self.legs.receive(from, &frame, now, &mut todo.to_servers);
         match told {
             Some(Told::Frame(no, frame)) => self.frame(no, &frame, now, todo),
-            Some(Told::Lost(key)) => self.broken(key, Broken::Ended, now, todo),
+            Some(Told::Lost(key)) => self.broken(key, TransportError::ConnectionClosed, now, todo),
             // Call servers do not call.
             Some(Told::New(new)) => todo.to_servers.push((from, new.inval().bytes())),
             None => {}
@@ -206,7 +209,7 @@
                 call.stands = true;
                 let body = call.body.clone().unwrap_or_else(|| description_in(elements).into());
                 self.legs.stands(no);
-                todo.inputs.push(Input::Server(server, sid, ServerSays::Answered(body)));
+                todo.inputs.push(Input::Server(server, sid, ServerEvent::Answered(body)));
                 return;
             }
             Kind::Iax(Iax::Reject | Iax::Hangup) | Kind::Control(Control::Hangup) => cause,
@@ -227,24 +230,24 @@
         }
         self.legs.end(no, now);
         let says = if stood {
-            ServerSays::Released(over.unwrap_or(CAUSE_CLEARED), report)
+            ServerEvent::Released(over.unwrap_or(CAUSE_CLEARED), report)
         } else {
             let wait = elements.variable("wait").and_then(|ms| ms.parse().ok()).map(Span::from_millis);
             let (refusal, why) = refusal_of(over.unwrap_or(0), wait);
-            ServerSays::Refused(refusal, why, report)
+            ServerEvent::Refused(refusal, why, report)
         };
         todo.inputs.push(Input::Server(server, sid, says));
     }
 
     /// A call's way broke: the other side is silent, or does not know the call.
-    fn broken(&mut self, key: Key, why: Broken, now: Time, todo: &mut Todo) {
+    fn broken(&mut self, key: Key, why: TransportError, now: Time, todo: &mut Todo) {
         let Some((no, call)) = self.calls.remove(&key) else { return };
         self.legs.end(no, now);
         let says = if call.stands {
             // Guards against a call left standing at its caller when its server has gone silent.
-            ServerSays::Released(CAUSE_CUT, Report::new())
+            ServerEvent::Released(CAUSE_CUT, LoadValues::new())
         } else {
-            ServerSays::Lost(AttemptError { why, progress: Progress::Written })
+            ServerEvent::Lost(AttemptError { error: why, progress: Progress::Written })
         };
         todo.inputs.push(Input::Server(key.0, key.1, says));
     }
@@ -253,7 +256,7 @@
     pub fn due(&mut self, key: u64, now: Time, todo: &mut Todo) {
         let no = u16::try_from(key).unwrap_or(0);
         if let Some(Told::Lost(call)) = self.legs.due(no, now, &mut todo.to_servers) {
-            self.broken(call, Broken::Silent, now, todo);
+            self.broken(call, TransportError::NotAcknowledged, now, todo);
         }
         self.arm(no, todo);
     }
@@ -265,7 +268,7 @@
 
     fn arm(&self, no: u16, todo: &mut Todo) {
         if let Some(at) = self.legs.next_due(no) {
-            todo.dues.push((at, WirePart::IaxServers, u64::from(no)));
+            todo.dues.push((at, DeadlineOwner::Iax2Upstream, u64::from(no)));
         }
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use crate::core::{Input, WirePart};
+use crate::core::{DeadlineOwner, Input};
 use crate::iax2::legs::Outgoing;
 use crate::interface::Time;
 
@@ -21,5 +21,5 @@
     /// Datagrams to IAX2 call servers.
     pub to_servers: Vec<Outgoing>,
     /// Deadlines to be set.
-    pub dues: Vec<(Time, WirePart, u64)>,
+    pub dues: Vec<(Time, DeadlineOwner, u64)>,
 }
--- a/src/upstream/sip/message.rs
+++ b/src/upstream/sip/message.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::core::{Refusal, Report, Sid};
+use crate::core::{LoadValues, Refusal, Sid};
 use crate::interface::{Cause, LoadField, Span};
 use crate::net::pool::MESSAGE;
 
@@ -31,7 +31,7 @@
     /// `P-Line-Ms`.
     pub line_ms: Option<f64>,
     /// `P-Report`.
-    pub report: Report,
+    pub report: LoadValues,
     /// The cause in `Reason`.
     pub cause: Option<u16>,
     /// The description.
@@ -131,7 +131,7 @@
 }
 
 /// `x0:12;x1:40;queue:3`; what cannot be read is left out.
-pub fn report_of(text: &str) -> Report {
+pub fn report_of(text: &str) -> LoadValues {
     let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
     let figures =
         pairs.filter_map(|(name, value)| Some((LoadField::named(name.trim()), value.trim().parse().ok()?)));
@@ -142,7 +142,7 @@
 pub fn refusal_of(message: &Message, code: u16) -> (Refusal, Cause) {
     let refusal = match code {
         503 => Refusal::Full,
-        480 => Refusal::Moot,
+        480 => Refusal::NotSent,
         504 => Refusal::Reset,
         _ => Refusal::Error,
     };
--- a/src/upstream/sip/mod.rs
+++ b/src/upstream/sip/mod.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::core::{AttemptError, Broken, Input, Progress, ServerSays, Sid, WirePart};
+use crate::core::{AttemptError, DeadlineOwner, Input, Progress, ServerEvent, Sid, TransportError};
 use crate::interface::{ServerId, Span, Time};
 use crate::net::conn::End;
 use crate::net::queue::{Budget, WriteQueue};
@@ -258,7 +258,7 @@
         trunk.standing.insert(sid, number);
         if !std::mem::replace(&mut trunk.watched, true) {
             trunk.heard = trunk.heard.max(now);
-            todo.dues.push((now.plus(ASK_AFTER), WirePart::SipWatch, u64::from(server.address)));
+            todo.dues.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, u64::from(server.address)));
         }
     }
 
@@ -276,7 +276,11 @@
             self.died(server, todo);
             return;
         }
-        todo.dues.push((trunk.heard.plus(CUT_AFTER).min(now.plus(LOOK_EVERY)), WirePart::SipWatch, key));
+        todo.dues.push((
+            trunk.heard.plus(CUT_AFTER).min(now.plus(LOOK_EVERY)),
+            DeadlineOwner::SipSilence,
+            key,
+        ));
         // Guards against releases that are lost on a connection that has gone silent while the others speak: they are
         // said again on the next one that opens.
         let stale = |l: &Link| l.up.is_some() && trunk.heard.since(l.heard) >= ASK_AFTER;
@@ -303,7 +307,7 @@
                 trunk.waiting.push_back(request("BYE", &number, sid, (2, "BYE"), reason, ""));
             }
         }
-        todo.inputs.push(Input::Died(server));
+        todo.inputs.push(Input::ServerDied(server));
     }
 
     /// Another call server has its address: its process is gone, and its calls with it.
@@ -318,7 +322,7 @@
         }
         if let Some(trunk) = self.trunks.get_mut(&server) {
             trunk.standing.clear();
-            todo.inputs.push(Input::Died(server));
+            todo.inputs.push(Input::ServerDied(server));
         }
     }
 
@@ -387,17 +391,18 @@
         now: Time,
         todo: &mut Todo,
     ) {
-        let lost =
-            |progress, why| Input::Server(server, sid, ServerSays::Lost(AttemptError { why, progress }));
+        let lost = |progress, why| {
+            Input::Server(server, sid, ServerEvent::Lost(AttemptError { error: why, progress }))
+        };
         let Some(no) = self.pick(server, sid, now, todo) else {
-            return todo.inputs.push(lost(Progress::NotConnected, Broken::Connect));
+            return todo.inputs.push(lost(Progress::NotConnected, TransportError::ConnectFailed));
         };
         let extra = format!("P-Kind: {class}\r\nP-Time-Left: {}\r\n", left.0 / 1000);
         let bytes = request("INVITE", number, sid, (1, "INVITE"), &extra, body);
         let link = self.trunks.get_mut(&server).and_then(|t| t.links.get_mut(&no));
         let Some(link) = link else { return };
         if !link.queue.push(bytes, Some(sid)) {
-            return todo.inputs.push(lost(Progress::Queued, Broken::Withdrawn));
+            return todo.inputs.push(lost(Progress::Queued, TransportError::Cancelled));
         }
         self.counts.invites += 1;
         link.out.insert(sid, SetUpOut { number: number.clone(), moves: 0, since: now });
@@ -474,8 +479,8 @@
             for sid in link.queue.take_back_all() {
                 link.out.remove(&sid);
                 self.counts.withdrawn += 1;
-                let error = AttemptError { why: Broken::Withdrawn, progress };
-                todo.inputs.push(Input::Server(server, sid, ServerSays::Lost(error)));
+                let error = AttemptError { error: TransportError::Cancelled, progress };
+                todo.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
             }
         }
     }
@@ -493,7 +498,7 @@
         for bytes in waiting {
             link.queue.push(bytes, None);
         }
-        todo.dues.push((now.plus(FIRST_WORD), WirePart::SipFirstWord, no));
+        todo.dues.push((now.plus(FIRST_WORD), DeadlineOwner::SipFirstMessage, no));
     }
 
     /// A connection that stands may carry set-ups now, whether its call server has said something on it or not.
@@ -527,11 +532,11 @@
             // Guards against calls left standing at callers when the process that carried them dies: it sends no
             // releases, it only resets its connections.
             trunk.standing.clear();
-            todo.inputs.push(Input::Died(server));
+            todo.inputs.push(Input::ServerDied(server));
         }
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         if trunk.wanted && trunk.links.is_empty() {
-            todo.dues.push((now.plus(trunk.again), WirePart::SipReach, u64::from(server.address)));
+            todo.dues.push((now.plus(trunk.again), DeadlineOwner::SipReconnect, u64::from(server.address)));
             trunk.again = Span(trunk.again.0.saturating_mul(2)).min(AGAIN.1);
         }
     }
@@ -559,16 +564,16 @@
                 && self.move_on(server, sid, &set_up, &item.bytes, now, todo))
             {
                 let (why, progress) = match link.up {
-                    None => (Broken::Connect, Progress::NotConnected),
-                    Some(_) => (Broken::Ended, Progress::Queued),
+                    None => (TransportError::ConnectFailed, Progress::NotConnected),
+                    Some(_) => (TransportError::ConnectionClosed, Progress::Queued),
                 };
-                let error = AttemptError { why, progress };
-                todo.inputs.push(Input::Server(server, sid, ServerSays::Lost(error)));
+                let error = AttemptError { error: why, progress };
+                todo.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
             }
         }
         for sid in link.out.keys() {
-            let error = AttemptError { why: Broken::Ended, progress: Progress::Written };
-            todo.inputs.push(Input::Server(server, *sid, ServerSays::Lost(error)));
+            let error = AttemptError { error: TransportError::ConnectionClosed, progress: Progress::Written };
+            todo.inputs.push(Input::Server(server, *sid, ServerEvent::Lost(error)));
         }
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         // Guards against calls left standing whose end was said on a connection that its call server was just closing, and
@@ -674,20 +679,21 @@
                         }
                         if asked && !std::mem::replace(&mut trunk.watched, true) {
                             let key = u64::from(server.address);
-                            todo.dues.push((now.plus(ASK_AFTER), WirePart::SipWatch, key));
+                            todo.dues.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, key));
                         }
-                        ServerSays::Answered(body.into())
+                        ServerEvent::Answered(body.into())
                     }
                     (200..=299, Err(_)) => {
                         // A description that is no text cannot be passed on unchanged: the call must not stand.
                         self.counts.malformed += 1;
                         self.bye(server, sid, 16, now, todo);
-                        let error = AttemptError { why: Broken::Unreadable, progress: Progress::Answered };
-                        ServerSays::Lost(error)
+                        let error =
+                            AttemptError { error: TransportError::Malformed, progress: Progress::Answered };
+                        ServerEvent::Lost(error)
                     }
                     (code, _) => {
                         let (refusal, cause) = refusal_of(message, code);
-                        ServerSays::Refused(refusal, cause, message.report.clone())
+                        ServerEvent::Refused(refusal, cause, message.report.clone())
                     }
                 };
                 todo.inputs.push(Input::Server(server, sid, says));
@@ -699,7 +705,7 @@
                     link.queue.push(answer(200, "OK", message), None);
                     link.out.remove(&sid);
                     trunk.standing.remove(&sid);
-                    let says = ServerSays::Released(message.cause.unwrap_or(16), message.report.clone());
+                    let says = ServerEvent::Released(message.cause.unwrap_or(16), message.report.clone());
                     todo.inputs.push(Input::Server(server, sid, says));
                 }
                 ("NOTIFY", _) => {
--- a/src/upstream/sip/tests.rs
+++ b/src/upstream/sip/tests.rs
@@ -17,7 +17,7 @@
 }
 
 fn sid(n: u64) -> Sid {
-    Sid::numbered(n)
+    Sid::from_number(n)
 }
 
 impl Drive {
@@ -49,7 +49,7 @@
         let text =
             format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny", sid(n));
         let todo = self.hears(link, &text);
-        assert!(matches!(todo.inputs[..], [Input::Server(SERVER, _, ServerSays::Answered(_))]));
+        assert!(matches!(todo.inputs[..], [Input::Server(SERVER, _, ServerEvent::Answered(_))]));
     }
     fn ends(&mut self, link: u64, how: LinkEnd) -> Todo {
         let mut todo = Todo::default();
@@ -64,7 +64,7 @@
 }
 
 fn died(todo: &Todo) -> bool {
-    todo.inputs.iter().any(|input| matches!(input, Input::Died(SERVER)))
+    todo.inputs.iter().any(|input| matches!(input, Input::ServerDied(SERVER)))
 }
 
 /// Guards against a set-up that waits for a connection and leaves after its server was told to drain.
@@ -74,7 +74,7 @@
     drive.invite(1);
     let mut todo = Todo::default();
     drive.trunks.withdraw(SERVER, &mut todo);
-    let [Input::Server(_, name, ServerSays::Lost(error))] = &todo.inputs[..] else { panic!("{todo:?}") };
+    let [Input::Server(_, name, ServerEvent::Lost(error))] = &todo.inputs[..] else { panic!("{todo:?}") };
     assert!(*name == sid(1) && error.progress == Progress::NotConnected && error.progress.never_ran());
     assert!(drive.trunks.queue_of(link).expect("kept").is_empty());
     // Nor does a cancel of it say anything.
@@ -111,7 +111,7 @@
     drive.now = at(3_000);
     let todo = drive.watch();
     assert!(!died(&todo) && todo.links.len() == 1, "another connection is offered");
-    assert_eq!(todo.dues, [(at(4_000), WirePart::SipWatch, 1)]);
+    assert_eq!(todo.dues, [(at(4_000), DeadlineOwner::SipSilence, 1)]);
     // An answer that was held up on its way is no word of today: it was given up long ago.
     let late =
         format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny", sid(9));
@@ -119,7 +119,7 @@
     drive.now = at(6_000);
     let last = drive.watch();
     assert!(!died(&last));
-    assert_eq!(last.dues, [(at(6_500), WirePart::SipWatch, 1)]);
+    assert_eq!(last.dues, [(at(6_500), DeadlineOwner::SipSilence, 1)]);
     drive.now = at(6_500);
     assert!(died(&drive.watch()));
     let second = todo.links[0].0;
@@ -141,7 +141,7 @@
     let mut todo = Todo::default();
     drive.trunks.reach(SERVER, ([127, 0, 0, 1], 1).into(), Some(at(1_500)), &mut todo);
     assert!(drive.trunks.queue_of(link).is_none() && drive.trunks.queue_of(second).is_some());
-    let [Input::Server(_, name, ServerSays::Lost(_))] = &todo.inputs[..] else { panic!("{todo:?}") };
+    let [Input::Server(_, name, ServerEvent::Lost(_))] = &todo.inputs[..] else { panic!("{todo:?}") };
     assert_eq!((*name, todo.links.len()), (sid(1), 0));
     // At another address everything is the old process's.
     drive.trunks.reach(SERVER, ([127, 0, 0, 2], 1).into(), Some(at(1_500)), &mut todo);
@@ -170,7 +170,7 @@
     assert_eq!(todo.links.len(), 1);
     // The new connection is refused: the second set-up never ran, the first is still out.
     let todo = drive.ends(todo.links[0].0, LinkEnd::NotMade);
-    let [Input::Server(_, name, ServerSays::Lost(error))] = &todo.inputs[..] else { panic!("{todo:?}") };
+    let [Input::Server(_, name, ServerEvent::Lost(error))] = &todo.inputs[..] else { panic!("{todo:?}") };
     assert!(*name == sid(2) && error.progress.never_ran());
 }
 
@@ -182,7 +182,7 @@
     let todo = drive.ends(link, LinkEnd::Ended(End::Closed));
     assert!(!died(&todo));
     let (again, part, key) = todo.dues[0];
-    assert_eq!((part, key), (WirePart::SipReach, 1));
+    assert_eq!((part, key), (DeadlineOwner::SipReconnect, 1));
     let mut todo = Todo::default();
     drive.now = again;
     drive.trunks.due(key, &mut todo);
@@ -209,7 +209,7 @@
 
 fn lost(todo: &Todo) -> Vec<(Sid, Progress)> {
     let lost = |input: &Input| match input {
-        Input::Server(SERVER, sid, ServerSays::Lost(error)) => Some((*sid, error.progress)),
+        Input::Server(SERVER, sid, ServerEvent::Lost(error)) => Some((*sid, error.progress)),
         _ => None,
     };
     todo.inputs.iter().filter_map(lost).collect()
@@ -263,7 +263,7 @@
     drive.invite(1);
     let mut todo = Todo::default();
     drive.trunks.link_up(link, drive.now, &mut todo);
-    assert_eq!(todo.dues, [(at(150), WirePart::SipFirstWord, link)]);
+    assert_eq!(todo.dues, [(at(150), DeadlineOwner::SipFirstMessage, link)]);
     drive.trunks.carries(link);
     assert!(drive.trunks.queue_of(link).expect("kept").may_write());
 }
@@ -355,7 +355,7 @@
             .inputs
             .iter()
             .filter_map(|input| match input {
-                Input::Server(_, sid, ServerSays::Lost(error)) => Some((*sid, error.progress)),
+                Input::Server(_, sid, ServerEvent::Lost(error)) => Some((*sid, error.progress)),
                 _ => None,
             })
             .collect();
@@ -387,7 +387,7 @@
     let late = format!("SIP/2.0 486 X\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n", sid(1));
     assert!(drive.hears(first, &late).inputs.is_empty(), "it is about the one that was given up");
     let refused = |todo: &Todo| {
-        matches!(todo.inputs[..], [Input::Server(SERVER, _, ServerSays::Refused(Refusal::Error, ..))])
+        matches!(todo.inputs[..], [Input::Server(SERVER, _, ServerEvent::Refused(Refusal::Error, ..))])
     };
     assert!(refused(&drive.hears(second, &late)), "and this about the one that is out");
     // A late answer means that the call stands there, by whichever set-up: the other is out no longer.
@@ -399,12 +399,12 @@
     let yes =
         format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny", sid(2));
     let todo = drive.hears(other, &yes);
-    assert!(matches!(todo.inputs[..], [Input::Server(SERVER, _, ServerSays::Answered(_))]));
+    assert!(matches!(todo.inputs[..], [Input::Server(SERVER, _, ServerEvent::Answered(_))]));
     assert!(drive
         .ends(on, LinkEnd::Ended(End::Closed))
         .inputs
         .iter()
-        .all(|input| { !matches!(input, Input::Server(_, name, ServerSays::Lost(_)) if *name == sid(2)) }));
+        .all(|input| { !matches!(input, Input::Server(_, name, ServerEvent::Lost(_)) if *name == sid(2)) }));
 }
 
 /// The end of a call waits on a connection that ends while another stands: it is said there, not kept for the next to come.
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -904,13 +904,13 @@
         let mut other = config(bulletin.at);
         other.core.classes = vec!["another".into()];
         other.zones = vec!["elsewhere".into(), "east".into()];
-        other.core.longest = Span::from_millis(100);
+        other.core.max_caller_wait = Span::from_millis(100);
         assert_eq!(controller.instance.reload(other.clone()), ["settings.zones", "settings.classes"]);
         other.core.classes = vec!["judge-call".into()];
         assert_eq!(controller.instance.reload(other.clone()), ["settings.zones"]);
         // Further zones take nobody's place.
         other.zones = vec!["east".into(), "elsewhere".into()];
-        other.core.longest = Span::from_millis(9_000);
+        other.core.max_caller_wait = Span::from_millis(9_000);
         assert!(controller.instance.reload(other.clone()).is_empty());
         // Another number among the controllers, for which the others would not know it.
         other.core.fleet =
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -51,7 +51,7 @@
     /// Asks a controller for a call to s1; the call servers that it was tried at, in order, until its final answer.
     async fn call(&mut self, me: u16) -> Vec<String> {
         self.calls += 1;
-        let sid = Sid::numbered(0x1000 + self.calls).to_string();
+        let sid = Sid::from_number(0x1000 + self.calls).to_string();
         let caller = Caller::connect(&self.world, "caller", self.fleet.at(me).expect("it runs")).await;
         caller.open(&sid, 5_000, 1, "v=0\r\n").await;
         self.world.answer(&sid).await;
@@ -297,7 +297,7 @@
         let mut asked = 0u64;
         loop {
             let me = if asked % 3 < 2 { 0 } else { 1 + (asked / 3 % 3) as usize };
-            let sid = Sid::numbered(0x2000 + asked).to_string();
+            let sid = Sid::from_number(0x2000 + asked).to_string();
             callers[me].open(&sid, 5_000, 1, "v=0\r\n").await;
             asked += 1;
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
--- a/tests/iax2_registration.rs
+++ b/tests/iax2_registration.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lockpoint::config::{Iax2Config, Iax2Secrets};
-use lockpoint::core::{HostLine, Input, Source, WirePart};
+use lockpoint::core::{DeadlineOwner, DirectoryEntry, Input, Source};
 use lockpoint::front::iax2::door::Door;
 use lockpoint::front::iax2::registration::apparent;
 use lockpoint::front::iax2::{Callers, Usual};
@@ -33,7 +33,7 @@
     at: SocketAddr,
     now: Time,
     /// The last list that the front told.
-    list: Option<Vec<HostLine>>,
+    list: Option<Vec<DirectoryEntry>>,
     /// When the front wants to be looked at for its registrations.
     due: Option<(Time, u64)>,
 }
@@ -56,7 +56,7 @@
             self.list = Some(hosts);
         }
         for (at, part, key) in todo.dues {
-            assert_eq!(part, WirePart::IaxFront);
+            assert_eq!(part, DeadlineOwner::Iax2Front);
             self.due = if key > 0xffff { Some((at, key)) } else { self.due };
         }
         todo.to_callers
@@ -107,7 +107,7 @@
 
     fn told(&self) -> Vec<(String, u16, u64)> {
         let lines = self.list.iter().flatten();
-        lines.map(|line| (line.host.clone(), line.cell.0, line.born_ms)).collect()
+        lines.map(|line| (line.host.clone(), line.cell.0, line.started_ms)).collect()
     }
 }
 
@@ -147,7 +147,7 @@
     assert_eq!(pair.told(), []);
     let me = account("s1", "wort");
     assert_eq!(pair.registers(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegAck));
-    let dial = |pair: &Pair| pair.list.iter().flatten().map(|line| line.dial.port()).collect::<Vec<_>>();
+    let dial = |pair: &Pair| pair.list.iter().flatten().map(|line| line.address.port()).collect::<Vec<_>>();
     // Two machines with one secret: the later one waits until the first has settled, then takes its place.
     pair.at.set_port(4_002);
     assert_eq!(pair.registers(Iax::RegReq, &me, 60).kind, Kind::Iax(Iax::RegRej));
@@ -236,7 +236,7 @@
         registrar.instance.reload(config(iax2(), Iax2Secrets { users, account: None }));
         controller.turns("it is registered", |instance| instance.counters().iax2_registered_at == 1).await;
         registrar.turns("it is a member", |instance| instance.servers().iter().any(|s| s.host == "s1")).await;
-        let dial = registrar.instance.servers()[0].dial;
+        let dial = registrar.instance.servers()[0].address;
         assert_eq!(Some(dial), controller.iax2_at, "calls are to come where it takes them");
         controller.stop().await;
         registrar.stop().await;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -129,7 +129,7 @@
 #[case(503, "P-Reason: queue_long\r\nP-Line-Ms: x\r\n", Refusal::Full, Cause::ProcessorFull)]
 #[case(486, "P-Reason: line_taken\r\n", Refusal::Error, Cause::NumberBusy)]
 #[case(500, "", Refusal::Error, Cause::None)]
-#[case(480, "", Refusal::Moot, Cause::None)]
+#[case(480, "", Refusal::NotSent, Cause::None)]
 #[case(504, "", Refusal::Reset, Cause::None)]
 #[case(302, "P-Reason: else\r\n", Refusal::Error, Cause::None)]
 fn sip_refusals(#[case] code: u16, #[case] headers: &str, #[case] refusal: Refusal, #[case] cause: Cause) {
@@ -159,7 +159,7 @@
     let page = parse_page(PAGE.as_bytes(), &["west".to_owned(), "east".to_owned()]).expect("readable");
     assert_eq!((page.no, page.malformed, page.changes.len()), (41, 3, 1));
     let line = &page.changes[0].hosts[0];
-    assert_eq!((line.host.as_str(), line.cell, line.zone, line.born_ms), ("s-00c41f7a", Cell(2), 1, 5));
+    assert_eq!((line.host.as_str(), line.cell, line.zone, line.started_ms), ("s-00c41f7a", Cell(2), 1, 5));
     assert_eq!(line.state, ServerState::Draining);
     assert!(parse_page(b"{\"items\":[]}", &[]).is_err());
 }
--- a/tests/recovery_processes.rs
+++ b/tests/recovery_processes.rs
@@ -52,7 +52,7 @@
         let end = Instant::now() + Duration::from_secs(30);
         loop {
             self.calls += 1;
-            let sid = Sid::numbered(0x3000 + self.calls).to_string();
+            let sid = Sid::from_number(0x3000 + self.calls).to_string();
             caller.open(&sid, 5_000, cell, "v=0\r\n").await;
             match self.world.answer(&sid).await.what {
                 What::Ready(_) => return sid,
@@ -165,7 +165,7 @@
         scene.kept(0, 3).await;
         // One is out, and nobody answers it, when the power goes.
         *scene.servers[1].does.borrow_mut() = Does::Silent;
-        let sid = Sid::numbered(0x9000).to_string();
+        let sid = Sid::from_number(0x9000).to_string();
         caller.open(&sid, 5_000, 1, "v=0\r\n").await;
         scene.world.until("it is out", |s| s.sid == sid && matches!(s.what, What::SetUp(..))).await;
         *scene.servers[1].does.borrow_mut() = Does::Answer("v=0\r\n".into());
--- a/tests/replication_settings.rs
+++ b/tests/replication_settings.rs
@@ -47,7 +47,7 @@
     let values = [("all/bounds.most-held", "7"), ("all/bounds.connect-timeout-us", "250000")];
     let (config, left_out) = overlay().in_force(values.iter().map(|(key, value)| (*key, value.as_bytes())));
     assert_eq!(left_out, []);
-    assert_eq!((config.core.most_held, config.connect_timeout.0), (7, 250_000));
+    assert_eq!((config.core.max_pending_calls, config.connect_timeout.0), (7, 250_000));
 }
 
 #[rstest]
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -106,7 +106,7 @@
 }
 
 pub fn name(n: u64) -> String {
-    Sid::numbered(0x9b1f_03aa_0000_0000 + n).to_string()
+    Sid::from_number(0x9b1f_03aa_0000_0000 + n).to_string()
 }
 
 // ---- A call server that a test holds in its hand ----------------------------------------------------------
