--- a/src/core/deadlines.rs
+++ b/src/core/deadlines.rs
@@ -1,5 +1,5 @@
-//! One sorted structure for every deadline of an instance: the module's timers, the calls' limits and the wires'
-//! own waits. It is swept once each turn.
+//! One sorted structure for all deadlines of an instance: timers of the decision module, timeouts of calls, and timers of
+//! the protocol adapters. Due deadlines are taken once per event loop iteration.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 
 use crate::interface::Time;
 
-/// Deadlines in order of time, and of setting where the times are alike.
+/// Deadlines ordered by time; equal times in the order in which they were set.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(bound(deserialize = "K: Ord + Deserialize<'de>"))]
 pub struct Deadlines<K> {
@@ -23,7 +23,7 @@
 }
 
 impl<K: Ord + Clone> Deadlines<K> {
-    /// Sets the deadline of `key`, in place of the one it had.
+    /// Sets the deadline of `key` and replaces its previous one.
     pub fn set(&mut self, at: Time, key: K) {
         self.clear(&key);
         self.next += 1;
@@ -31,19 +31,19 @@
         self.sorted.insert((at, self.next, key));
     }
 
-    /// Forgets the deadline of `key`.
+    /// Removes the deadline of `key`.
     pub fn clear(&mut self, key: &K) {
         if let Some((at, no)) = self.by_key.remove(key) {
             self.sorted.remove(&(at, no, key.clone()));
         }
     }
 
-    /// When the earliest falls due.
+    /// Time of the earliest deadline.
     pub fn next_at(&self) -> Option<Time> {
         self.sorted.first().map(|(at, _, _)| *at)
     }
 
-    /// Takes the earliest that is due by `now`.
+    /// Removes the earliest deadline if it is due by `now`, and returns its key.
     pub fn pop(&mut self, now: Time) -> Option<K> {
         if self.next_at()? > now {
             return None;
@@ -53,12 +53,12 @@
         Some(key)
     }
 
-    /// How many are set.
+    /// Number of deadlines set.
     pub fn len(&self) -> usize {
         self.sorted.len()
     }
 
-    /// Whether none is set.
+    /// Whether no deadline is set.
     pub fn is_empty(&self) -> bool {
         self.sorted.is_empty()
     }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,10 +1,10 @@
-//! What a controller took in, sent and answered, in one place to print.
+//! Counters of a controller, for the status line and `lockpoint stats`.
 
 use serde::{Deserialize, Serialize};
 
-/// The counts of one controller.
+/// The counters of one controller.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[allow(missing_docs)] // the names say it; README lists them
+#[allow(missing_docs)] // README lists them
 pub struct Counters {
     pub name: String,
     pub open: usize,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators are shown: requests by class and by how they ended, attempts, and what is held now.
+//! Metrics for operators: requests by class and ending, attempts, and the present state.
 
 use std::fmt::Write;
 use std::rc::Rc;
@@ -11,65 +11,65 @@
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Served: the call stands.
+    /// The call was established.
     Completed,
-    /// Refused: trying again is harmless.
+    /// Refused; the caller may safely try again.
     Rejected,
     /// Failed.
     Failed,
 }
 
-/// The requests of each class by their ending. Classes come from the settings alone: whatever name a caller makes up
-/// finds no place here.
+/// Number of requests of each class by ending. Only the classes of the settings are counted, so that callers cannot add
+/// metrics by made-up class names.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestMetrics(Vec<(Rc<str>, [u64; 3])>);
 
 impl RequestMetrics {
-    /// Nothing yet, for these classes in the settings' order.
+    /// Zero counts for these classes, in the order of the settings.
     pub fn for_classes(classes: &[Rc<str>]) -> RequestMetrics {
         RequestMetrics(classes.iter().map(|class| (class.clone(), [0; 3])).collect())
     }
 
-    /// A request of the class at this place has ended.
-    pub fn record(&mut self, class: usize, how: Ending) {
+    /// Counts a request of the class with this index.
+    pub fn record(&mut self, class: usize, ending: Ending) {
         if let Some((_, counts)) = self.0.get_mut(class) {
-            counts[how as usize] += 1;
+            counts[ending as usize] += 1;
         }
     }
 
-    /// So many of a class ended so.
-    pub fn count(&self, class: &str, how: Ending) -> u64 {
-        self.0.iter().filter(|(name, _)| &**name == class).map(|(_, counts)| counts[how as usize]).sum()
+    /// Number of requests of a class with this ending.
+    pub fn count(&self, class: &str, ending: Ending) -> u64 {
+        self.0.iter().filter(|(name, _)| &**name == class).map(|(_, counts)| counts[ending as usize]).sum()
     }
 }
 
-/// What is held at the moment, and what the wires count.
+/// Gauges of the present state, and the protocol adapters' count of attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Attempts written whole to call servers.
+    /// Attempts written completely to call servers.
     pub upstream_requests: u64,
-    /// Requests taken and not ended: those that are owed an answer, and the calls that stand.
+    /// Requests accepted and not ended: pending calls and established calls.
     pub pending: usize,
-    /// Call servers in the list.
+    /// Call servers listed.
     pub members: usize,
-    /// Those of them that are avoided.
+    /// Listed call servers that the decision module avoids.
     pub members_unavailable: usize,
 }
 
-/// The figures as operators read them, one a line.
+/// Formats the metrics, one per line.
 pub fn format_metrics(metrics: &RequestMetrics, gauges: &Gauges) -> String {
     let mut text = String::new();
     let mut put = |name: &str, value: u64, kind: char| {
         let _ = writeln!(text, "controller.{name}:{value}|{kind}");
     };
     for (class, counts) in &metrics.0 {
-        // A name that would end its line or its field is still one name.
+        // Replaces characters that would end the name or the line.
         let class: String = class
             .chars()
             .map(|c| if c.is_ascii_alphanumeric() || "-_".contains(c) { c } else { '_' })
             .collect();
-        for (how, count) in ["completed", "rejected", "failed"].into_iter().zip(counts) {
-            put(&format!("downstream_requests.{class}.{how}"), *count, 'c');
+        for (ending, count) in ["completed", "rejected", "failed"].into_iter().zip(counts) {
+            put(&format!("downstream_requests.{class}.{ending}"), *count, 'c');
         }
     }
     put("upstream_requests", gauges.upstream_requests, 'c');
@@ -79,7 +79,7 @@
     text
 }
 
-/// The fleet's figures, one per line: counters of datagrams and credit, the number of peers, and the newest observation
+/// Formats the fleet's metrics, one per line: counters of datagrams and credit, the number of peers, and the newest observation
 /// of each call server with its age. A call server without a recent observation has none.
 pub fn format_fleet_metrics(
     counts: &FleetCounts,
@@ -103,7 +103,7 @@
     put("permits_borrowed_256ths", credit.borrowed, 'c');
     put("permits_too_late_256ths", credit.too_late, 'c');
     for FleetView { host, newest, age, own, warned, permits } in view {
-        let mut put = |figure: &str, value: u64| put(&format!("server.{host}.{figure}"), value, 'g');
+        let mut put = |name: &str, value: u64| put(&format!("server.{host}.{name}"), value, 'g');
         if let Some(own) = own {
             put("own_wait_ms", own.wait.0 / 1_000);
             put("own_silent", u64::from(own.silent));
--- a/src/outages.rs
+++ b/src/outages.rs
@@ -1,25 +1,25 @@
-//! What fails, and whether it is worth a line in the log: the first failure, then reminders at growing gaps with how
-//! often, then that it is back. No clock and no log here.
+//! Decides which failures of a remote party are logged: the first one, then reminders at growing intervals with the
+//! number of failures, then the recovery. Sans-IO: neither clock nor log here.
 
 use std::collections::BTreeMap;
 
 use crate::interface::{Span, Time};
 
-/// The first reminder comes after this; each next one after twice as long as the one before.
+/// Time until the first reminder; each further interval is twice the previous one.
 const REMIND_AFTER: Span = Span::from_millis(60_000);
-/// The longest time between reminders.
-const LONGEST_GAP: Span = Span::from_millis(3_600_000);
-/// Outages told apart; beyond that the failures of further things are counted by others than this.
-const MOST: usize = 1_024;
+/// Longest interval between reminders.
+const MAX_INTERVAL: Span = Span::from_millis(3_600_000);
+/// Limit of the outages tracked at once; failures of further parties are not logged.
+const MAX_OUTAGES: usize = 1_024;
 
-/// What is to be said.
+/// An event to log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutageEvent {
-    /// It fails for the first time.
+    /// The first failure.
     Started,
-    /// It still fails: how often by now, and for how long.
+    /// It still fails: number of failures so far, and time since the first one.
     Reminder(u64, Span),
-    /// It is back: how often it had failed, and for how long.
+    /// It works again: number of failures, and time since the first one.
     Recovered(u64, Span),
 }
 
@@ -27,11 +27,11 @@
 struct Outage {
     since: Time,
     times: u64,
-    next: Time,
-    gap: Span,
+    next_reminder: Time,
+    interval: Span,
 }
 
-/// All outages that last.
+/// The present outages, by party.
 #[derive(Debug)]
 pub struct Outages<K>(BTreeMap<K, Outage>);
 
@@ -42,34 +42,34 @@
 }
 
 impl<K: Ord> Outages<K> {
-    /// It failed.
-    pub fn failed(&mut self, what: K, now: Time) -> Option<OutageEvent> {
-        if let Some(outage) = self.0.get_mut(&what) {
+    /// Notes a failure.
+    pub fn failed(&mut self, party: K, now: Time) -> Option<OutageEvent> {
+        if let Some(outage) = self.0.get_mut(&party) {
             outage.times += 1;
-            if now < outage.next {
+            if now < outage.next_reminder {
                 return None;
             }
-            outage.gap = Span(outage.gap.0 * 2).min(LONGEST_GAP);
-            outage.next = now.plus(outage.gap);
+            outage.interval = Span(outage.interval.0 * 2).min(MAX_INTERVAL);
+            outage.next_reminder = now.plus(outage.interval);
             return Some(OutageEvent::Reminder(outage.times, now.since(outage.since)));
         }
-        if self.0.len() >= MOST {
+        if self.0.len() >= MAX_OUTAGES {
             return None;
         }
-        let next = now.plus(REMIND_AFTER);
-        self.0.insert(what, Outage { since: now, times: 1, next, gap: REMIND_AFTER });
+        let next_reminder = now.plus(REMIND_AFTER);
+        self.0.insert(party, Outage { since: now, times: 1, next_reminder, interval: REMIND_AFTER });
         Some(OutageEvent::Started)
     }
 
-    /// It works.
-    pub fn recovered(&mut self, what: &K, now: Time) -> Option<OutageEvent> {
-        let outage = self.0.remove(what)?;
+    /// Notes a success, which ends an outage.
+    pub fn recovered(&mut self, party: &K, now: Time) -> Option<OutageEvent> {
+        let outage = self.0.remove(party)?;
         Some(OutageEvent::Recovered(outage.times, now.since(outage.since)))
     }
 
-    /// It is of no concern any more.
-    pub fn forget(&mut self, what: &K) {
-        self.0.remove(what);
+    /// Drops an outage without an event.
+    pub fn forget(&mut self, party: &K) {
+        self.0.remove(party);
     }
 }
 
@@ -78,17 +78,17 @@
     use super::*;
 
     #[test]
-    fn an_outage_is_said_once_then_now_and_then_then_that_it_is_over() {
+    fn an_outage_gives_a_start_then_rare_reminders_then_a_recovery() {
         let mut outages = Outages::default();
         let at = |s: u64| Time(1_000_000 * s);
         assert_eq!(outages.recovered(&1, at(1)), None);
-        // Ten hours of failures, one each second.
-        let said: Vec<(u64, OutageEvent)> =
+        // Ten hours of failures, one per second.
+        let logged: Vec<(u64, OutageEvent)> =
             (10..36_010).filter_map(|s| Some((s, outages.failed(1, at(s))?))).collect();
-        let times: Vec<u64> = said.iter().map(|(s, _)| *s - 10).collect();
+        let times: Vec<u64> = logged.iter().map(|(s, _)| *s - 10).collect();
         assert_eq!(times[..5], [0, 60, 180, 420, 900]);
-        assert_eq!(said[0].1, OutageEvent::Started);
-        assert_eq!(said[2].1, OutageEvent::Reminder(181, Span::from_millis(180_000)));
+        assert_eq!(logged[0].1, OutageEvent::Started);
+        assert_eq!(logged[2].1, OutageEvent::Reminder(181, Span::from_millis(180_000)));
         assert!(times.len() < 18 && times.windows(2).all(|two| two[1] - two[0] <= 3_600), "{times:?}");
         assert_eq!(outages.failed(2, at(36_010)), Some(OutageEvent::Started));
         assert_eq!(
@@ -100,10 +100,10 @@
     }
 
     #[test]
-    fn what_fails_by_the_thousand_is_bounded() {
+    fn the_number_of_outages_is_bounded() {
         let mut outages = Outages::default();
-        let said = (0..5_000).filter(|n| outages.failed(*n, Time(1)).is_some()).count();
-        assert_eq!(said, MOST);
+        let logged = (0..5_000).filter(|n| outages.failed(*n, Time(1)).is_some()).count();
+        assert_eq!(logged, MAX_OUTAGES);
         outages.forget(&0);
         assert_eq!(outages.failed(6_000, Time(1)), Some(OutageEvent::Started));
     }
