--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -1,5 +1,6 @@
-//! Connects the core with the fleet: publishes what this controller observes of the call servers and passes the peers'
-//! observations on to the module. Without a fleet in the configuration a peer's datagram goes to the module as it is.
+//! Connects the core with the fleet: publishes this controller's observations of the call servers and passes the peers'
+//! observations to the decision module. Without a fleet in the configuration, a peer's datagram goes to the decision
+//! module unchanged.
 
 use std::collections::BTreeMap;
 
@@ -93,7 +94,7 @@
     }
 
     /// Handles a datagram of a peer.
-    pub(super) fn mail(&mut self, from: u16, data: Vec<u8>, out: &mut Vec<Effect>) {
+    pub(super) fn peer_message(&mut self, from: u16, data: Vec<u8>, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(fleet) = self.fleet() else { return self.feed(Event::Mail { from, data }, out) };
         // Malformed datagrams are counted by the fleet.
@@ -119,7 +120,7 @@
 
     /// Passes a peer's observation on to the module.
     fn feed_observation(&mut self, server: ServerId, observation: Observation, out: &mut Vec<Effect>) {
-        self.others_answer();
+        self.peer_answered();
         let Observation { wait, silent, observed_at: at, .. } = observation;
         self.feed(Event::Seen { server, wait, silent, at }, out);
     }
@@ -140,13 +141,13 @@
         }
     }
 
-    /// Our own directory lists a call server: its entry ends any warning. It is published if it keeps new calls away,
-    /// or if it differs from what the fleet knows.
-    pub(super) fn publish_listing(&mut self, server: ServerId, line: &DirectoryEntry) {
-        let (now, state) = (self.now, line.state);
-        self.keys.add(server, &line.host);
+    /// Our own directory lists a call server: its entry ends any warning. The entry is published if it rules out new calls,
+    /// or if it differs from the fleet's latest observation.
+    pub(super) fn publish_listing(&mut self, server: ServerId, entry: &DirectoryEntry) {
+        let (now, state) = (self.now, entry.state);
+        self.keys.add(server, &entry.host);
         self.warnings.record_own_listing(now, server);
-        let key = Key::of_listing(&line.host);
+        let key = Key::of_listing(&entry.host);
         let Some(fleet) = self.fleet() else { return };
         let differs = fleet.view(key, now).is_some_and(|known| known.wait != encode_listing(state));
         if state != ServerState::Ready || differs {
@@ -157,10 +158,10 @@
     /// Handles a peer's listing of a call server that our own directory lists too.
     fn peer_listing(&mut self, server: ServerId, observation: Observation, out: &mut Vec<Effect>) {
         let Some(listed) = self.servers.get(&server) else { return };
-        let (Some(state), ServerState::Ready) = (decode_listing(observation.wait), listed.line.state) else {
+        let (Some(state), ServerState::Ready) = (decode_listing(observation.wait), listed.entry.state) else {
             return;
         };
-        let host = listed.line.host.clone();
+        let host = listed.entry.host.clone();
         let reported_at = observation.observed_at;
         match self.warnings.record_peer_listing(self.now, server, state, reported_at) {
             WarningChange::Unchanged => {}
@@ -170,7 +171,7 @@
                     observation.origin
                 )));
                 out.push(Effect::CancelQueued(server));
-                self.list_again(server, ServerState::Draining, out);
+                self.relist(server, ServerState::Draining, out);
                 self.deadlines.set(until, Deadline::ListingWarning(server));
             }
             WarningChange::Withdrawn => self.end_warning(server, "withdrawn by a peer's directory", out),
@@ -178,7 +179,7 @@
     }
 
     /// A warning may have expired.
-    pub(super) fn warning_due(&mut self, server: ServerId, out: &mut Vec<Effect>) {
+    pub(super) fn check_warning(&mut self, server: ServerId, out: &mut Vec<Effect>) {
         match self.warnings.check_expiry(self.now, server) {
             Some(Expiry::Expired) => self.end_warning(server, "not confirmed by our own directory", out),
             Some(Expiry::ActiveUntil(later)) => self.deadlines.set(later, Deadline::ListingWarning(server)),
@@ -187,21 +188,22 @@
     }
 
     fn end_warning(&mut self, server: ServerId, why: &str, out: &mut Vec<Effect>) {
-        let Some(line) = self.servers.get(&server).map(|listed| &listed.line) else { return };
-        let state = line.state;
-        out.push(Effect::Log(format!("warning for {} ends: {why}", line.host)));
-        self.list_again(server, state, out);
+        let Some(entry) = self.servers.get(&server).map(|listed| &listed.entry) else { return };
+        let state = entry.state;
+        out.push(Effect::Log(format!("warning for {} ends: {why}", entry.host)));
+        self.relist(server, state, out);
     }
 
-    /// Passes a state of a call server to the module as if the directory had listed it.
-    pub(super) fn list_again(&mut self, server: ServerId, state: ServerState, out: &mut Vec<Effect>) {
+    /// Passes a state of a call server to the decision module as if the directory had listed it.
+    pub(super) fn relist(&mut self, server: ServerId, state: ServerState, out: &mut Vec<Effect>) {
         let Some(listed) = self.servers.get(&server) else { return };
-        let entry = super::route::entry_of(server, &DirectoryEntry { state, ..listed.line.clone() });
+        let entry = super::route::server_entry(server, &DirectoryEntry { state, ..listed.entry.clone() });
         self.feed(Event::List { kind: ListKind::Delta, entries: vec![entry] }, out);
     }
 
-    /// Passes the observations of call servers received before these were listed here to the module. Guards against a
-    /// controller that has just started, hears its peers before its directory, and would ignore what they know.
+    /// Passes the observations of call servers that arrived before these were listed here to the decision module. Guards
+    /// against a controller that has just started, receives its peers' observations before its first list, and would
+    /// ignore them.
     pub(super) fn replay_observations(&mut self, named: &[ServerId], out: &mut Vec<Effect>) {
         let (Some(fleet), now) = (&self.fleet, self.now) else { return };
         let observed = |server: &ServerId| Some((*server, fleet.view(self.key_of(*server)?, now)?));
@@ -212,7 +214,7 @@
     }
 
     /// Sends the datagrams that are due, and logs changes of the set of live peers.
-    pub(super) fn tell_fleet(&mut self, out: &mut Vec<Effect>) {
+    pub(super) fn poll_fleet(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
         let Some(fleet) = self.fleet() else { return };
         let mut datagrams = Vec::new();
@@ -222,8 +224,8 @@
         out.extend(datagrams.into_iter().map(|Outgoing { to, bytes }| Effect::SendToPeers(Some(to), bytes)));
     }
 
-    /// Sets the deadline of the next [`Core::tell_fleet`].
-    pub(super) fn book_fleet(&mut self) {
+    /// Sets the deadline of the next [`Core::poll_fleet`].
+    pub(super) fn schedule_fleet_poll(&mut self) {
         if let Some(fleet) = self.fleet() {
             let due = fleet.next_poll();
             self.deadlines.set(due, Deadline::FleetPoll);
@@ -233,15 +235,15 @@
     /// The state of the listed call servers, sorted by name; empty without a fleet.
     pub fn fleet_view(&self, now: Time) -> Vec<FleetView> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
-        let listed = self.listed_servers().filter(|line| line.state != ServerState::Gone);
+        let listed = self.listed_servers().filter(|entry| entry.state != ServerState::Gone);
         let mut view: Vec<FleetView> = listed
-            .map(|line| {
-                let key = Key::of(&line.host);
+            .map(|entry| {
+                let key = Key::of(&entry.host);
                 let newest = fleet.view(key, now);
                 let age = newest.map(|observation| observation.age(now)).unwrap_or_default();
                 let server = self.server_of(key);
                 FleetView {
-                    host: line.host.clone(),
+                    host: entry.host.clone(),
                     newest,
                     age,
                     own: fleet.own_view(key, now),
@@ -270,7 +272,7 @@
     }
 
     fn key_of(&self, server: ServerId) -> Option<Key> {
-        self.servers.get(&server).map(|listed| Key::of(&listed.line.host))
+        self.servers.get(&server).map(|listed| Key::of(&listed.entry.host))
     }
 
     fn server_of(&self, key: Key) -> Option<ServerId> {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,9 +1,9 @@
-//! The core of a controller: sans-IO. It takes inputs with a time and yields effects; it knows requests, attempts
-//! and outcomes, no wire, no runtime and no clock. A call passes the stages take in, admit, route, send, relay and
-//! book, each in a file of its own.
+//! The core of a session controller, sans-IO: it takes inputs with a time and yields effects. It knows requests,
+//! attempts and outcomes, but no wire format, runtime or clock. A call passes through six stages, each in a module of
+//! its own: `take_in`, `admit`, `route`, `send`, `relay` and `call_registry`.
 
 mod admit;
-mod book;
+mod call_registry;
 pub mod deadlines;
 mod fleet;
 mod recover;
@@ -26,135 +26,135 @@
 use crate::metrics::{Ending, Gauges, RequestMetrics};
 use crate::recovery::records::Change;
 use crate::rules::Controller;
-use book::Book;
+use call_registry::CallRegistry;
 use deadlines::Deadlines;
 pub use fleet::FleetView;
 pub use relay::{CAUSE_CLEARED, CAUSE_CUT};
 pub use types::*;
 
-/// What the core has set deadlines for.
+/// The deadlines of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Deadline {
     /// A timer of the decision module.
     Module(Token),
-    /// An attempt has been waited for long enough.
+    /// An attempt's timeout.
     Attempt(CallId),
-    /// The caller gives up now.
+    /// The time until which a caller waits for its answer.
     #[serde(rename = "Caller")]
     CallerTimeout(CallId),
-    /// An ended call need not be remembered any more.
+    /// An ended call may be forgotten.
     #[serde(rename = "Forget")]
     ForgetCall(Sid),
-    /// A caller's connection on which nothing was said yet is one for releases that wait.
+    /// A client connection without a message so far is assumed to be a caller's: it may get pending releases.
     #[serde(rename = "Greets")]
     FirstMessage(Client),
-    /// Releases that found no connection have waited long enough.
+    /// A pending release is dropped.
     #[serde(rename = "Unsaid")]
     PendingRelease(Sid),
-    /// A call server that has left the list may be forgotten.
+    /// A call server that has left its directory may be forgotten.
     #[serde(rename = "Gone")]
     ForgetServer(ServerId),
-    /// Something of a wire's: its part and a key of its own.
+    /// A deadline of a protocol adapter: its owner, and a key that the owner chose.
     #[serde(rename = "Wire")]
     ProtocolAdapter(DeadlineOwner, u64),
-    /// Something is to be told to the other controllers.
+    /// Datagrams to the other controllers are due.
     #[serde(rename = "Fleet")]
     FleetPoll,
-    /// What another said of a call server's listing may count no longer.
+    /// A peer's warning about a call server may have expired.
     #[serde(rename = "Warned")]
     ListingWarning(ServerId),
-    /// A phase of the recovery ends.
+    /// A phase of the recovery ends, or undecided calls are checked again.
     Recovery,
 }
 
-/// The wires that keep deadlines here.
+/// The parts of the protocol adapters that own deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DeadlineOwner {
-    /// A caller's connection that may have stayed for too long.
+    /// A check whether a client connection has to be closed.
     #[serde(rename = "Guests")]
     ClientConnections,
-    /// A new connection of a SIP call server on which nothing was heard yet.
+    /// A new connection to a SIP call server on which nothing was received yet.
     #[serde(rename = "SipFirstWord")]
     SipFirstMessage,
-    /// Reconnecting to a SIP call server.
+    /// The next attempt to connect to a SIP call server.
     #[serde(rename = "SipReach")]
     SipReconnect,
-    /// The silence of a SIP call server that has calls.
+    /// Silence timeout of a SIP call server that has calls.
     #[serde(rename = "SipWatch")]
     SipSilence,
-    /// A leg of the IAX2 front.
+    /// A call leg, a registrar or the registrations of the IAX2 front.
     #[serde(rename = "IaxFront")]
     Iax2Front,
-    /// A leg or a call server of the IAX2 side.
+    /// A call leg of the IAX2 upstream.
     #[serde(rename = "IaxServers")]
     Iax2Upstream,
 }
 
-/// What the core is told at its start.
+/// Configuration of the core.
 #[derive(Debug, Clone, Default)]
 pub struct CoreConfig {
-    /// The module's settings.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, in the module's order.
+    /// Names of the classes, by index.
     pub classes: Vec<Rc<str>>,
-    /// Names of the tenants, in the module's order; calls know them at their arrival only, so a reload may change them.
+    /// Names of the tenants, by index. Calls use them only on arrival, so a reload may change them.
     pub tenants: Vec<Rc<str>>,
-    /// Calls that may be open at once.
+    /// Limit of the calls that await an answer at once.
     pub max_pending_calls: usize,
-    /// Bytes that their descriptions may take together.
+    /// Limit of the bytes of their descriptions together.
     pub max_pending_bytes: usize,
-    /// The longest that any class lets a caller wait.
+    /// The longest time that any class allows a caller to wait.
     pub max_caller_wait: Span,
-    /// Seed for the module's random numbers.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// How it shares with the other controllers what it sees of the call servers; `None`: it does not.
+    /// How it exchanges observations of call servers with the other controllers; `None`: not at all.
     pub fleet: Option<FleetConfig>,
 }
 
-/// Plain counts of what the core did.
+/// Counters of the core.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CoreCounts {
-    /// Set-ups taken in.
+    /// Set-ups received, except duplicates.
     pub taken: u64,
-    /// Set-ups that named a call already known.
+    /// Set-ups with the identifier of a call already known.
     pub duplicates: u64,
-    /// Set-ups that nobody could use: an unknown class, a figure out of range.
+    /// Invalid set-ups: an unknown class, or a value out of range.
     pub unusable: u64,
     /// Attempts sent.
     pub sent: u64,
-    /// Attempts withdrawn.
+    /// Attempts cancelled.
     pub cancelled: u64,
-    /// Attempts that a guard of the send stage held back.
+    /// Attempts that the checks of the send stage did not allow.
     pub held_back: u64,
-    /// Final answers: stands.
+    /// Final answers: established.
     pub answered: u64,
     /// Final answers: refused.
     pub refused: u64,
     /// Final answers: failed.
     pub failed: u64,
-    /// Set-ups that the caller gave up.
+    /// Set-ups that the caller cancelled.
     pub given_up: u64,
-    /// Releases passed on to callers.
+    /// Releases sent to callers.
     pub released: u64,
-    /// Releases for calls not known here, passed on all the same.
+    /// Releases of calls unknown here, sent to callers all the same.
     pub unknown_released: u64,
-    /// Answers that came after the attempt was given up.
+    /// Answers that arrived after their attempt was cancelled.
     pub late_answers: u64,
-    /// Answers under names that nobody asked for.
+    /// Answers for unknown calls.
     pub unknown_answers: u64,
 }
 
-/// A set-up that is out.
+/// An attempt that was sent and has not ended.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Out {
+struct OutstandingAttempt {
     server: ServerId,
     attempt: u16,
     sent: Time,
 }
 
-/// A call that is owed its final answer.
+/// A call that awaits its final answer.
 #[derive(Debug, Serialize, Deserialize)]
-struct Open {
+struct PendingCall {
     id: CallId,
     client: Client,
     class: usize,
@@ -162,48 +162,54 @@
     body: Rc<str>,
     valid_until: Time,
     attempts: u16,
-    out: Option<Out>,
-    /// Call servers whose attempt was given up, or broke on its way, after it may have run: the call may stand there, and
-    /// its answer or its release may still come.
+    #[serde(rename = "out")]
+    outstanding: Option<OutstandingAttempt>,
+    /// Call servers whose attempt was cancelled or lost after it may have run: the call may be established there, and
+    /// its answer or its release may still arrive.
     #[serde(default)]
     unsettled: BTreeSet<ServerId>,
+    /// No further attempt may be sent before this time.
     not_before: Time,
 }
 
-impl Open {
-    /// Whether an attempt is out at this call server.
-    fn is_out_at(&self, server: ServerId) -> bool {
-        self.out.is_some_and(|out| out.server == server)
+impl PendingCall {
+    /// Whether an attempt is outstanding at this call server.
+    fn has_attempt_at(&self, server: ServerId) -> bool {
+        self.outstanding.is_some_and(|attempt| attempt.server == server)
     }
 
-    /// Whether the call may stand at this call server although its answer has not been heard.
-    fn may_stand_at(&self, server: ServerId) -> bool {
-        self.is_out_at(server) || self.unsettled.contains(&server)
+    /// Whether the call may be established at this call server although its answer has not arrived.
+    fn may_be_established_at(&self, server: ServerId) -> bool {
+        self.has_attempt_at(server) || self.unsettled.contains(&server)
     }
 }
 
-/// A caller's connection or leg that is there.
+/// An open client connection or leg.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 struct Caller {
-    /// Calls that it is owed an answer for.
-    owed: usize,
-    /// Calls that it ended and that nobody here knew.
-    strangers: usize,
-    /// Whether a call of it ever stood.
+    /// Number of its calls that await an answer.
+    #[serde(rename = "owed")]
+    pending: usize,
+    /// Number of its hang-ups for unknown calls.
+    #[serde(rename = "strangers")]
+    unknown_hang_ups: usize,
+    /// Whether a call was ever established on it.
     served: bool,
-    /// Whether it only ever tested.
-    tests: bool,
+    /// Whether it has sent nothing but health checks.
+    #[serde(rename = "tests")]
+    only_health_checks: bool,
 }
 
-/// A call server as the directories tell of it.
+/// A call server listed by a directory.
 #[derive(Debug, Serialize, Deserialize)]
-struct Listed {
-    line: DirectoryEntry,
+struct ListedServer {
+    #[serde(rename = "line")]
+    entry: DirectoryEntry,
     source: Source,
 }
 
-/// One controller's core. What it holds can be handed on to another process; its settings and counts are each
-/// process's own.
+/// The core of one controller. Its state can be handed over to another process; settings and counters belong to each
+/// process.
 #[derive(Serialize, Deserialize)]
 pub struct Core {
     #[serde(skip)]
@@ -211,19 +217,28 @@
     module: Controller,
     now: Time,
     next_call: u32,
-    open: BTreeMap<Sid, Open>,
-    held_bytes: usize,
-    names: BTreeMap<CallId, Sid>,
-    servers: BTreeMap<ServerId, Listed>,
+    #[serde(rename = "open")]
+    pending: BTreeMap<Sid, PendingCall>,
+    /// Bytes of the descriptions of all pending calls.
+    #[serde(rename = "held_bytes")]
+    pending_bytes: usize,
+    /// Identifiers of the pending calls.
+    #[serde(rename = "names")]
+    sids: BTreeMap<CallId, Sid>,
+    servers: BTreeMap<ServerId, ListedServer>,
     hosts: BTreeMap<(Source, String), ServerId>,
     next_server: u32,
-    list_held: bool,
-    /// From then on set-ups are refused: the controller is being emptied.
-    closes_at: Option<Time>,
-    /// Callers that are there.
+    /// Whether a directory has listed any call server so far.
+    #[serde(rename = "list_held")]
+    has_list: bool,
+    /// Set-ups are refused from this time on: the controller is being drained.
+    #[serde(rename = "closes_at")]
+    refuses_from: Option<Time>,
+    /// Open client connections and legs.
     clients: BTreeMap<Client, Caller>,
-    book: Book,
-    /// All deadlines of the instance, the wires' too.
+    #[serde(rename = "book")]
+    registry: CallRegistry,
+    /// All deadlines of the instance, those of the protocol adapters included.
     pub deadlines: Deadlines<Deadline>,
     #[serde(skip)]
     events: VecDeque<Event>,
@@ -231,22 +246,22 @@
     counts: CoreCounts,
     #[serde(skip)]
     metrics: RequestMetrics,
-    /// What all controllers know together; each process learns it anew.
+    /// Observations shared by all controllers; each process collects them anew.
     #[serde(skip)]
     fleet: Option<Fleet>,
-    /// The call servers by the keys that the others know them by.
+    /// The call servers by their keys in peers' datagrams.
     #[serde(skip)]
     keys: fleet::Keys,
-    /// What the others' directories say before ours.
+    /// Listings that peers' directories show and ours does not yet.
     #[serde(skip)]
     warnings: Warnings,
-    /// What is kept for a life after this one, and what came back from the one before.
+    /// Changes to be recorded for the next run, and the state of the recovery from the previous one.
     #[serde(skip)]
-    returns: recover::Returns,
+    recovery: recover::RecoveryState,
 }
 
 impl Core {
-    /// A core that knows nothing but its settings.
+    /// A core without any state.
     pub fn new(config: CoreConfig) -> Self {
         let module = Controller::new(config.settings.clone(), config.seed);
         let metrics = RequestMetrics::for_classes(&config.classes);
@@ -255,16 +270,16 @@
             module,
             now: Time::default(),
             next_call: 0,
-            open: BTreeMap::new(),
-            held_bytes: 0,
-            names: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            pending_bytes: 0,
+            sids: BTreeMap::new(),
             servers: BTreeMap::new(),
             hosts: BTreeMap::new(),
             next_server: 0,
-            list_held: false,
-            closes_at: None,
+            has_list: false,
+            refuses_from: None,
             clients: BTreeMap::new(),
-            book: Book::default(),
+            registry: CallRegistry::default(),
             deadlines: Deadlines::default(),
             events: VecDeque::new(),
             counts: CoreCounts::default(),
@@ -272,177 +287,177 @@
             fleet: None,
             keys: fleet::Keys::default(),
             warnings: Warnings::default(),
-            returns: recover::Returns::default(),
+            recovery: recover::RecoveryState::default(),
         }
     }
 
-    /// Goes on with what another process held, by settings of its own; the classes must be the same.
+    /// Continues with the state of another process under this process's own settings; the classes must be the same.
     pub fn resume(mut self, config: CoreConfig) -> Core {
         self.module.reconfigure(config.settings.clone());
         self.metrics = RequestMetrics::for_classes(&config.classes);
         self.config = config;
-        self.servers.iter().for_each(|(server, listed)| self.keys.add(*server, &listed.line.host));
+        self.servers.iter().for_each(|(server, listed)| self.keys.add(*server, &listed.entry.host));
         self
     }
 
-    /// Names of the classes, in the module's order.
+    /// Names of the classes, by index.
     pub fn classes(&self) -> &[Rc<str>] {
         &self.config.classes
     }
 
-    /// Takes one input and appends what is to be done, in order. A clock that steps back stands still.
+    /// Handles one input and appends the effects, in order. A clock that steps back counts as standing still.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         match input {
             Input::ClientUp(client) => self.client_up(client),
             Input::ClientDown(client) => self.client_down(client, out),
-            Input::HealthCheck(client) => self.client_tests(client),
+            Input::HealthCheck(client) => self.health_check_received(client),
             Input::SetUp(client, set_up) => {
-                self.client_speaks(client, out);
+                self.caller_message_received(client, out);
                 self.take_in(client, set_up, out);
             }
             Input::HangUp(client, sid, cause) => {
-                self.client_speaks(client, out);
-                self.client_closes(client, sid, cause, out);
+                self.caller_message_received(client, out);
+                self.hang_up_received(client, sid, cause, out);
             }
-            Input::ReleaseConfirmed(sid) => self.book.heard(sid),
-            Input::Server(server, sid, says) => self.server_says(server, sid, says, out),
-            Input::Load(server, report) => self.server_reports(server, report, out),
+            Input::ReleaseConfirmed(sid) => self.registry.confirm_release(sid),
+            Input::Server(server, sid, says) => self.server_event(server, sid, says, out),
+            Input::Load(server, report) => self.load_reported(server, report, out),
             Input::ServerDied(server) => self.server_died(server, out),
-            Input::List { source, whole, hosts } => self.news(source, whole, hosts, out),
-            Input::PeerMessage(from, data) => self.mail(from, data, out),
+            Input::List { source, whole, hosts } => self.directory_update(source, whole, hosts, out),
+            Input::PeerMessage(from, data) => self.peer_message(from, data, out),
             Input::Tick => {}
         }
-        self.book_fleet();
+        self.schedule_fleet_poll();
     }
 
-    /// Takes what has fallen due by `now`; hands back what is a wire's.
+    /// Handles the deadlines due by `now`; returns those of the protocol adapters.
     pub fn expire_deadlines(&mut self, now: Time, out: &mut Vec<Effect>) -> Vec<(DeadlineOwner, u64)> {
         self.now = self.now.max(now);
-        let mut wires = Vec::new();
-        while let Some(due) = self.deadlines.pop(self.now) {
-            match due {
+        let mut for_adapters = Vec::new();
+        while let Some(deadline) = self.deadlines.pop(self.now) {
+            match deadline {
                 Deadline::Module(token) => self.feed(Event::Timer(token), out),
-                Deadline::Attempt(call) => self.attempt_overdue(call, out),
-                Deadline::CallerTimeout(call) => self.caller_gives_up(call, out),
-                Deadline::ForgetCall(sid) => self.book.forget(sid),
+                Deadline::Attempt(call) => self.attempt_timed_out(call, out),
+                Deadline::CallerTimeout(call) => self.fail_and_report_hang_up(call, out),
+                Deadline::ForgetCall(sid) => self.registry.forget_ended(sid),
                 Deadline::ForgetServer(server) => self.forget_server(server, out),
-                Deadline::FleetPoll => self.tell_fleet(out),
-                Deadline::ListingWarning(server) => self.warning_due(server, out),
-                Deadline::Recovery => self.recovery_due(out),
-                Deadline::FirstMessage(client) => self.client_speaks(client, out),
+                Deadline::FleetPoll => self.poll_fleet(out),
+                Deadline::ListingWarning(server) => self.check_warning(server, out),
+                Deadline::Recovery => self.advance_recovery(out),
+                Deadline::FirstMessage(client) => self.caller_message_received(client, out),
                 Deadline::PendingRelease(sid) => {
-                    self.book.drop_unsaid(sid);
-                    self.note_change(|| Change::Ends(sid));
+                    self.registry.drop_pending_release(sid);
+                    self.record_change(|| Change::Ends(sid));
                 }
-                Deadline::ProtocolAdapter(part, key) => wires.push((part, key)),
+                Deadline::ProtocolAdapter(owner, key) => for_adapters.push((owner, key)),
             }
         }
-        self.book_fleet();
-        wires
+        self.schedule_fleet_poll();
+        for_adapters
     }
 
-    /// Takes over settings that were read anew. `false`: the classes differ, which calls that are open know by their
-    /// place, so all settings stay as they were.
+    /// Applies reloaded settings. `false`: the classes differ, and all settings stay as they were, since pending calls
+    /// refer to their class by index.
     pub fn reconfigure(&mut self, config: CoreConfig) -> bool {
         if config.classes != self.config.classes {
             return false;
         }
         self.module.reconfigure(config.settings.clone());
-        // The seed is one start's: the module's random numbers carry on. So do its number and life among the others.
+        // The seed and the fleet identity belong to the process: neither changes with a reload.
         let (seed, fleet) = (self.config.seed, self.config.fleet.take());
         self.config = CoreConfig { seed, fleet, ..config };
         true
     }
 
-    /// Whether a configuration has it take part among the controllers as it does now.
+    /// Whether a configuration has the same membership and limits in the fleet as the present one.
     pub fn fleet_config_matches(&self, other: Option<&FleetConfig>) -> bool {
-        let part = |fleet: &FleetConfig| {
+        let compared = |fleet: &FleetConfig| {
             (fleet.me, fleet.controllers, fleet.fanout, fleet.max_bytes_per_second, fleet.max_age)
         };
-        self.config.fleet.as_ref().map(part) == other.map(part)
+        self.config.fleet.as_ref().map(compared) == other.map(compared)
     }
 
-    /// From when on set-ups are refused; `None`: they are taken.
+    /// Refuses set-ups from this time on; `None`: accepts them.
     pub fn refuse_set_ups_from(&mut self, at: Option<Time>) {
-        self.closes_at = at;
+        self.refuses_from = at;
     }
 
-    /// Whether a list of call servers is held: the test that the front makes passes.
+    /// Whether a list of call servers has arrived: health checks pass.
     pub fn ready(&self) -> bool {
-        self.list_held
+        self.has_list
     }
 
-    /// Calls that are owed a final answer.
+    /// Number of calls that await a final answer.
     pub fn pending_calls(&self) -> usize {
-        self.open.len()
+        self.pending.len()
     }
 
-    /// Calls that stand.
+    /// Number of established calls.
     pub fn established_calls(&self) -> usize {
-        self.book.standing.len()
+        self.registry.established.len()
     }
 
-    /// Whether a call of this name is owed an answer.
+    /// Whether a call with this identifier awaits its answer.
     pub fn awaits_answer(&self, sid: Sid) -> bool {
-        self.open.contains_key(&sid)
+        self.pending.contains_key(&sid)
     }
 
-    /// A call for which this connection is owed an answer.
+    /// A call that awaits its answer on this connection.
     pub fn pending_call_on(&self, client: Client) -> Option<Sid> {
-        self.open.iter().find(|(_, open)| open.client == client).map(|(sid, _)| *sid)
+        self.pending.iter().find(|(_, call)| call.client == client).map(|(sid, _)| *sid)
     }
 
-    /// The longest that any class lets a caller wait, by the settings of now.
+    /// The longest time that any class allows a caller to wait, by the present settings.
     pub fn max_caller_wait(&self) -> Span {
         self.config.max_caller_wait
     }
 
-    /// Whether a call that stands was asked for on this connection.
+    /// Whether an established call was requested on this connection.
     pub fn has_established_calls(&self, client: Client) -> bool {
-        self.book.carries(client)
+        self.registry.has_established_calls(client)
     }
 
-    /// What was done so far.
+    /// The counters.
     pub fn counts(&self) -> CoreCounts {
         self.counts
     }
 
-    /// The requests that have ended.
+    /// Metrics of the requests that have ended.
     pub fn metrics(&self) -> &RequestMetrics {
         &self.metrics
     }
 
-    /// What is held at `now`; whom it avoids the module alone knows.
+    /// The gauges at `now`; the protocol adapters count `upstream_requests`.
     pub fn gauges(&self, now: Time) -> Gauges {
-        let listed = self.servers.values().filter(|listed| listed.line.state != ServerState::Gone);
+        let listed = self.servers.values().filter(|listed| listed.entry.state != ServerState::Gone);
         Gauges {
             upstream_requests: 0,
-            pending: self.open.len() + self.book.standing.len(),
+            pending: self.pending.len() + self.registry.established.len(),
             members: listed.count(),
             members_unavailable: self.module.avoided(now.max(self.now)),
         }
     }
 
-    /// A request has ended: it is booked here and nowhere else.
-    fn ends(&mut self, class: Option<usize>, how: Ending) {
-        match how {
+    /// Counts a request that has ended; no other code does.
+    fn record_outcome(&mut self, class: Option<usize>, ending: Ending) {
+        match ending {
             Ending::Completed => self.counts.answered += 1,
             Ending::Rejected => self.counts.refused += 1,
             Ending::Failed => self.counts.failed += 1,
         }
         if let Some(class) = class {
-            self.metrics.record(class, how);
+            self.metrics.record(class, ending);
         }
     }
 
-    /// How a call server is spoken to.
+    /// The protocol used with a call server.
     pub fn protocol_of(&self, server: ServerId) -> Option<Protocol> {
-        self.servers.get(&server).map(|listed| listed.line.protocol)
+        self.servers.get(&server).map(|listed| listed.entry.protocol)
     }
 
-    /// The call servers known: name, address, state.
+    /// The directory entries of all known call servers.
     pub fn listed_servers(&self) -> impl Iterator<Item = &DirectoryEntry> {
-        self.servers.values().map(|listed| &listed.line)
+        self.servers.values().map(|listed| &listed.entry)
     }
 }
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -1,4 +1,4 @@
-//! Stage 5: what a call server says of a call goes to the module and, where it is final, to the caller.
+//! Stage 5: events from call servers go to the decision module and, if they are final, to the caller.
 
 use std::rc::Rc;
 
@@ -7,29 +7,30 @@
 use crate::metrics::Ending;
 use crate::recovery::records::{Change, KeptCall};
 
-/// Cause of a call that was ended by its user.
+/// Cause of a call that its user ended.
 pub const CAUSE_CLEARED: u16 = 16;
 /// Cause of a call that was cut.
 pub const CAUSE_CUT: u16 = 41;
 
 impl Core {
-    pub(super) fn server_says(
+    pub(super) fn server_event(
         &mut self,
         server: ServerId,
         sid: Sid,
-        says: ServerEvent,
+        event: ServerEvent,
         out: &mut Vec<Effect>,
     ) {
-        let is_out = self.open.get(&sid).is_some_and(|open| open.is_out_at(server));
-        match says {
-            ServerEvent::Answered(body) if is_out => self.stands(sid, body, out),
+        let has_attempt = self.pending.get(&sid).is_some_and(|call| call.has_attempt_at(server));
+        match event {
+            ServerEvent::Answered(body) if has_attempt => self.establish(sid, body, out),
             ServerEvent::Answered(_) => {
-                if let Some(open) = self.open.get_mut(&sid) {
-                    open.unsettled.remove(&server); // it is ended there now
+                if let Some(call) = self.pending.get_mut(&sid) {
+                    call.unsettled.remove(&server); // the BYE below ends it there
                 }
-                if self.open.contains_key(&sid) || self.book.knows(sid) {
-                    // The answer crossed our giving it up: the call must not stay up there. A second copy is dropped.
-                    if !self.book.stands_at(sid, server) {
+                if self.pending.contains_key(&sid) || self.registry.is_known(sid) {
+                    // The answer crossed our cancel: the call must not stay established there. A second copy of the
+                    // answer is ignored.
+                    if !self.registry.is_established_at(sid, server) {
                         self.counts.late_answers += 1;
                         out.push(Effect::Bye(server, sid, CAUSE_CLEARED));
                     }
@@ -39,92 +40,100 @@
             }
             ServerEvent::Refused(refusal, cause, report) => {
                 let load = self.load_of(&report);
-                if is_out {
+                if has_attempt {
                     self.attempt_ended(sid, outcome_of(refusal), cause, load);
-                    self.pump(out);
+                    self.process_events(out);
                 } else if !load.0.is_empty() {
                     self.feed(Event::Load { server, outcome: Outcome::Ok, load }, out);
                 }
             }
-            ServerEvent::Lost(error) if is_out => {
-                self.attempt_ended(sid, outcome_of_loss(error), Cause::None, LoadReport::default());
-                self.pump(out);
+            ServerEvent::Lost(error) if has_attempt => {
+                self.attempt_ended(
+                    sid,
+                    outcome_of_transport_error(error),
+                    Cause::None,
+                    LoadReport::default(),
+                );
+                self.process_events(out);
             }
             ServerEvent::Lost(_) => {}
-            ServerEvent::Released(cause, report) => self.server_releases(server, sid, cause, report, out),
+            ServerEvent::Released(cause, report) => self.release_received(server, sid, cause, report, out),
         }
     }
 
-    /// The first answer: the caller gets it unchanged, at once and once.
-    fn stands(&mut self, sid: Sid, body: Rc<str>, out: &mut Vec<Effect>) {
-        let Some(open) = self.close(sid) else { return };
-        let Some(o) = open.out else { return };
-        self.ends(Some(open.class), Ending::Completed);
-        if let Some(caller) = self.clients.get_mut(&open.client) {
+    /// Handles the first answer: the caller gets it unchanged, at once and exactly once.
+    fn establish(&mut self, sid: Sid, body: Rc<str>, out: &mut Vec<Effect>) {
+        let Some(call) = self.remove_pending(sid) else { return };
+        let Some(attempt) = call.outstanding else { return };
+        self.record_outcome(Some(call.class), Ending::Completed);
+        if let Some(caller) = self.clients.get_mut(&call.client) {
             caller.served = true;
         }
-        out.push(Effect::Answer(open.client, sid, body));
-        if let Some(line) = self.servers.get(&o.server).map(|listed| &listed.line) {
-            let (host, born_ms, number) = (line.host.clone(), line.started_ms, open.number.to_string());
-            let (since_ms, leg) = (self.now.0 / 1_000, open.client.front == FrontKind::Iax2);
-            self.note_change(|| Change::Stands(sid, KeptCall { host, born_ms, number, since_ms, leg }));
+        out.push(Effect::Answer(call.client, sid, body));
+        if let Some(line) = self.servers.get(&attempt.server).map(|listed| &listed.entry) {
+            let (host, born_ms, number) = (line.host.clone(), line.started_ms, call.number.to_string());
+            let (since_ms, leg) = (self.now.0 / 1_000, call.client.front == FrontKind::Iax2);
+            self.record_change(|| Change::Stands(sid, KeptCall { host, born_ms, number, since_ms, leg }));
         }
-        self.book.stands(sid, open.client, o.server, open.id, o.attempt, self.now);
-        let (call, attempt, server) = (open.id, Attempt(o.attempt), o.server);
-        self.feed(Event::Stands { call, attempt, server, took: self.now.since(o.sent) }, out);
-        if !self.clients.contains_key(&open.client) {
-            // The caller's connection went while the answer was on its way here: nobody hears it.
-            self.end_standing(sid, CAUSE_CLEARED, out);
+        self.registry.add_established(sid, call.client, attempt.server, call.id, attempt.attempt, self.now);
+        let took = self.now.since(attempt.sent);
+        let (id, attempt, server) = (call.id, Attempt(attempt.attempt), attempt.server);
+        self.feed(Event::Stands { call: id, attempt, server, took }, out);
+        if !self.clients.contains_key(&call.client) {
+            // The client connection was closed while the answer was under way: nobody can receive it.
+            self.end_established(sid, CAUSE_CLEARED, out);
         }
     }
 
     /// Final answer: refused.
     pub(super) fn refuse(&mut self, call: CallId, wait: Span, out: &mut Vec<Effect>) {
-        self.turn_down(call, true, wait, out);
+        self.reject_call(call, true, wait, out);
     }
 
     /// Final answer: failed.
     pub(super) fn fail(&mut self, call: CallId, out: &mut Vec<Effect>) {
-        self.turn_down(call, false, Span::default(), out);
+        self.reject_call(call, false, Span::default(), out);
     }
 
-    fn turn_down(&mut self, call: CallId, again: bool, wait: Span, out: &mut Vec<Effect>) {
-        let Some(&sid) = self.names.get(&call) else { return };
-        // Nothing may stay out for a call that is over.
-        self.take_back(sid, Outcome::Cancelled, out);
-        let Some(open) = self.close(sid) else { return };
-        self.ends(Some(open.class), if again { Ending::Rejected } else { Ending::Failed });
-        self.remember(sid);
-        out.push(Effect::Refuse { client: open.client, sid, retryable: again, retry_after: wait });
+    /// Gives a call its negative final answer.
+    fn reject_call(&mut self, call: CallId, retryable: bool, retry_after: Span, out: &mut Vec<Effect>) {
+        let Some(&sid) = self.sids.get(&call) else { return };
+        // No attempt may stay outstanding for a call that is over.
+        self.cancel_attempt(sid, Outcome::Cancelled, out);
+        let Some(call) = self.remove_pending(sid) else { return };
+        self.record_outcome(Some(call.class), if retryable { Ending::Rejected } else { Ending::Failed });
+        self.remember_ended(sid);
+        out.push(Effect::Refuse { client: call.client, sid, retryable, retry_after });
     }
 
-    /// The caller's wait is over and the module has said nothing: the last guard of the one final answer.
-    pub(super) fn caller_gives_up(&mut self, call: CallId, out: &mut Vec<Effect>) {
-        self.turn_down(call, false, Span::default(), out);
+    /// Fails a call and reports a hang-up to the decision module, which has not ended it: when the caller's wait is over,
+    /// this guarantees the one final answer.
+    pub(super) fn fail_and_report_hang_up(&mut self, call: CallId, out: &mut Vec<Effect>) {
+        self.reject_call(call, false, Span::default(), out);
         self.feed(Event::HungUp(call), out);
     }
 
-    /// Takes a call out of the table of those that are owed an answer.
-    pub(super) fn close(&mut self, sid: Sid) -> Option<crate::core::Open> {
-        let open = self.open.remove(&sid)?;
-        self.held_bytes = self.held_bytes.saturating_sub(open.body.len());
-        if let Some(caller) = self.clients.get_mut(&open.client) {
-            caller.owed = caller.owed.saturating_sub(1);
+    /// Removes a call from the table of pending calls.
+    pub(super) fn remove_pending(&mut self, sid: Sid) -> Option<crate::core::PendingCall> {
+        let call = self.pending.remove(&sid)?;
+        self.pending_bytes = self.pending_bytes.saturating_sub(call.body.len());
+        if let Some(caller) = self.clients.get_mut(&call.client) {
+            caller.pending = caller.pending.saturating_sub(1);
         }
-        self.names.remove(&open.id);
-        self.deadlines.clear(&crate::core::Deadline::Attempt(open.id));
-        self.deadlines.clear(&crate::core::Deadline::CallerTimeout(open.id));
-        Some(open)
+        self.sids.remove(&call.id);
+        self.deadlines.clear(&crate::core::Deadline::Attempt(call.id));
+        self.deadlines.clear(&crate::core::Deadline::CallerTimeout(call.id));
+        Some(call)
     }
 }
 
 impl Core {
-    /// A call that is owed its answer is now another connection's.
-    pub(super) fn moved(&mut self, from: Client, to: Client) {
+    /// Counts a pending call for another connection, which gets its answer.
+    pub(super) fn move_pending(&mut self, from: Client, to: Client) {
         if let Some(caller) = self.clients.get_mut(&from) {
-            caller.owed = caller.owed.saturating_sub(1);
+            caller.pending = caller.pending.saturating_sub(1);
         }
-        self.clients.entry(to).or_default().owed += 1;
+        self.clients.entry(to).or_default().pending += 1;
     }
 }
 
@@ -137,8 +146,8 @@
     }
 }
 
-/// How far an attempt had come tells whether it provably never ran.
-fn outcome_of_loss(error: AttemptError) -> Outcome {
+/// The outcome of an attempt whose transport failed; its progress tells whether it may have run.
+fn outcome_of_transport_error(error: AttemptError) -> Outcome {
     if error.progress.never_ran() {
         Outcome::ConnectFailed
     } else {
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,37 +1,38 @@
-//! Stage 3: the decision module hears an event, and each of its actions goes to the stage that carries it out.
+//! Stage 3: events go to the decision module, and each of its actions goes to the stage that executes it. Directory
+//! updates are handled here too.
 
-use crate::core::{Core, Deadline, DirectoryEntry, Effect, Listed, Source};
+use crate::core::{Core, Deadline, DirectoryEntry, Effect, ListedServer, Source};
 use crate::interface::{
     Action, Event, ListKind, LoadField, LoadReport, Outcome, ServerEntry, ServerId, ServerState, Span, Time,
 };
 
 use crate::recovery::records::Change;
 
-/// A call server that has left the list is remembered this long, and for as long as calls stand there.
-const GONE: Span = Span::from_millis(20_000);
-/// Call servers known at once at most; memory only.
-const MOST_SERVERS: usize = 1_024;
+/// How long a call server that has left its directory is remembered; longer while it has calls.
+const FORGET_SERVER_AFTER: Span = Span::from_millis(20_000);
+/// Limit of the call servers known at once; it bounds memory only.
+const MAX_SERVERS: usize = 1_024;
 
 impl Core {
-    /// Hands an event to the module and carries out what follows from it, until nothing more follows.
+    /// Passes an event to the decision module and executes all actions that follow.
     pub(super) fn feed(&mut self, event: Event, out: &mut Vec<Effect>) {
         self.events.push_back(event);
-        self.pump(out);
+        self.process_events(out);
     }
 
-    /// Lets the module hear what has been booked for it.
-    pub(super) fn pump(&mut self, out: &mut Vec<Effect>) {
+    /// Passes the queued events to the decision module and executes its actions, until no event is left.
+    pub(super) fn process_events(&mut self, out: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.publish_observation(&event);
             self.module.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(action, out);
+                self.execute(action, out);
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action, out: &mut Vec<Effect>) {
+    fn execute(&mut self, action: Action, out: &mut Vec<Effect>) {
         match action {
             Action::Send { call, server, patience } => self.send(call, server, patience, out),
             Action::Refuse { call, retry_after } => self.refuse(call, retry_after, out),
@@ -44,12 +45,13 @@
             Action::Lack { server, parts } => self.request_credit(server, parts),
             Action::Lend { to, server, parts } => self.grant_credit(to, server, parts),
             Action::Log(line) => out.push(Effect::Log(line)),
-            // Probes are not allowed; ways to call servers are kept up; the list comes unasked.
+            // Probes are not allowed, connections to call servers are kept open, and lists arrive without a request.
             Action::Probe { .. } | Action::CloseIdle { .. } | Action::Watch(_) | Action::FetchList => {}
         }
     }
 
-    pub(super) fn server_reports(
+    /// Handles a load report that belongs to no call.
+    pub(super) fn load_reported(
         &mut self,
         server: ServerId,
         report: crate::core::LoadValues,
@@ -59,22 +61,23 @@
         self.feed(Event::Load { server, outcome: Outcome::Ok, load }, out);
     }
 
-    /// A report's figures in the order of the settings; -1 where one is not told.
+    /// A report's values in the order of the settings; -1 for those not reported.
     pub(super) fn load_of(&self, report: &crate::core::LoadValues) -> LoadReport {
         if report.is_empty() {
             return LoadReport::default();
         }
         let fields = self.config.settings.load_fields.iter();
-        let unread = |field: &LoadField| *field == LoadField::Pending && self.reads_no_queue();
-        let told = |field: &LoadField| match report.iter().find(|(name, _)| name == field) {
-            Some((_, value)) if !unread(field) => *value,
+        let ignored = |field: &LoadField| *field == LoadField::Pending && self.ignores_reported_queue();
+        let value_of = |field: &LoadField| match report.iter().find(|(name, _)| name == field) {
+            Some((_, value)) if !ignored(field) => *value,
             _ => -1.0,
         };
-        LoadReport(fields.map(told).collect())
+        LoadReport(fields.map(value_of).collect())
     }
 
-    /// News of a directory: what changed goes to the module, and the wires keep up or give up their ways.
-    pub(super) fn news(
+    /// Handles an update of a directory: changes go to the decision module, and the protocol adapters open or close their
+    /// connections.
+    pub(super) fn directory_update(
         &mut self,
         source: Source,
         whole: bool,
@@ -83,46 +86,49 @@
     ) {
         if whole {
             let left = self.servers.values().filter(|l| l.source == source);
-            let left = left.filter(|l| l.line.state != ServerState::Gone);
-            let left = left.filter(|l| !hosts.iter().any(|h| h.host == l.line.host));
+            let left = left.filter(|l| l.entry.state != ServerState::Gone);
+            let left = left.filter(|l| !hosts.iter().any(|h| h.host == l.entry.host));
             let left: Vec<DirectoryEntry> =
-                left.map(|l| DirectoryEntry { state: ServerState::Gone, ..l.line.clone() }).collect();
+                left.map(|l| DirectoryEntry { state: ServerState::Gone, ..l.entry.clone() }).collect();
             hosts.extend(left);
         }
-        self.list_held |= !hosts.is_empty();
+        self.has_list |= !hosts.is_empty();
         let mut entries = Vec::new();
-        for line in hosts {
-            let Some(server) = self.number_of(source, &line) else { continue };
-            let before = self.servers.get(&server).map(|l| (l.line.started_ms, l.line.address));
-            if line.state == ServerState::Ready && before.is_none_or(|(_, dial)| dial != line.address) {
-                entries.extend(self.replaced_by(server, source, &line, out));
+        for entry in hosts {
+            let Some(server) = self.server_id_of(source, &entry) else { continue };
+            let before = self.servers.get(&server).map(|l| (l.entry.started_ms, l.entry.address));
+            if entry.state == ServerState::Ready && before.is_none_or(|(_, address)| address != entry.address)
+            {
+                entries.extend(self.retire_servers_at(server, source, &entry, out));
             }
-            entries.push(entry_of(
+            entries.push(server_entry(
                 server,
-                &DirectoryEntry { state: self.state_for_module(&line), ..line.clone() },
+                &DirectoryEntry { state: self.state_for_module(&entry), ..entry.clone() },
             ));
-            self.publish_listing(server, &line);
-            self.keep_line(source, &line);
-            let fresh = before.is_some_and(|(born, dial)| born != line.started_ms || dial != line.address);
-            let fresh = fresh.then_some(Time(line.started_ms.saturating_mul(1000)));
-            let (address, protocol, state) = (line.address, line.protocol, line.state);
-            self.servers.insert(server, Listed { line, source });
+            self.publish_listing(server, &entry);
+            self.record_entry(source, &entry);
+            let restarted = before
+                .is_some_and(|(started, address)| started != entry.started_ms || address != entry.address);
+            let restarted_at = restarted.then_some(Time(entry.started_ms.saturating_mul(1000)));
+            let (address, protocol, state) = (entry.address, entry.protocol, entry.state);
+            self.servers.insert(server, ListedServer { entry, source });
             match state {
-                ServerState::Gone => self.deadlines.set(self.now.plus(GONE), Deadline::ForgetServer(server)),
+                ServerState::Gone => {
+                    self.deadlines.set(self.now.plus(FORGET_SERVER_AFTER), Deadline::ForgetServer(server))
+                }
                 ServerState::Ready | ServerState::Draining => {
                     self.deadlines.clear(&Deadline::ForgetServer(server))
                 }
             }
             match state {
-                ServerState::Ready => {
-                    out.push(Effect::Connect { server, address, protocol, restarted_at: fresh })
-                }
+                ServerState::Ready => out.push(Effect::Connect { server, address, protocol, restarted_at }),
                 ServerState::Draining => {
                     out.push(Effect::CancelQueued(server));
-                    out.push(Effect::Connect { server, address, protocol, restarted_at: fresh });
+                    out.push(Effect::Connect { server, address, protocol, restarted_at });
                 }
                 ServerState::Gone => {
-                    // Its calls end when it says so, dies or stays silent: the list is seconds late and may be wrong.
+                    // Its calls end when it releases them, dies or stays silent: the list is seconds late and may be
+                    // wrong.
                     out.push(Effect::CancelQueued(server));
                     out.push(Effect::StopConnecting(server));
                 }
@@ -131,8 +137,10 @@
         if !entries.is_empty() {
             let named: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for server in &named {
-                let Some(line) = self.servers.get(server).map(|listed| listed.line.clone()) else { continue };
-                self.decide_at(*server, &line, out);
+                let Some(entry) = self.servers.get(server).map(|listed| listed.entry.clone()) else {
+                    continue;
+                };
+                self.decide_calls_at(*server, &entry, out);
             }
             self.feed(Event::List { kind: ListKind::Delta, entries }, out);
             self.replay_observations(&named, out);
@@ -141,15 +149,15 @@
 }
 
 impl Core {
-    /// The number of the call server of this name. Numbers are never used twice: what is still under way for one that
-    /// has left must not meet another.
-    fn number_of(&mut self, source: Source, line: &DirectoryEntry) -> Option<ServerId> {
-        let name = (source, line.host.clone());
+    /// The id of the call server with this host name, assigned when it is first listed. Ids are never reused: events still
+    /// under way for a call server that has left must not be taken for another's.
+    fn server_id_of(&mut self, source: Source, entry: &DirectoryEntry) -> Option<ServerId> {
+        let name = (source, entry.host.clone());
         if let Some(known) = self.hosts.get(&name) {
             return Some(*known);
         }
-        // One that has left before it was known is no news.
-        if line.state == ServerState::Gone || self.hosts.len() >= MOST_SERVERS {
+        // An entry for a call server that left before it was known changes nothing.
+        if entry.state == ServerState::Gone || self.hosts.len() >= MAX_SERVERS {
             return None;
         }
         self.next_server += 1;
@@ -158,25 +166,25 @@
         Some(server)
     }
 
-    /// Those that had this address before: their processes are gone, whatever the list still says of them. Guards
-    /// against calls left standing at a call server whose place another has taken.
-    fn replaced_by(
+    /// Marks the call servers that had this address before as gone: their processes no longer exist, whatever the list
+    /// still says. Guards against calls that stay established at a call server whose address another has taken.
+    fn retire_servers_at(
         &mut self,
         server: ServerId,
         source: Source,
-        line: &DirectoryEntry,
+        entry: &DirectoryEntry,
         out: &mut Vec<Effect>,
     ) -> Vec<ServerEntry> {
-        let at_once = |l: &Listed| l.source == source && l.line.address == line.address;
-        let before = self.servers.iter().filter(|(id, l)| **id != server && at_once(l));
+        let same_address = |l: &ListedServer| l.source == source && l.entry.address == entry.address;
+        let before = self.servers.iter().filter(|(id, l)| **id != server && same_address(l));
         let before: Vec<ServerId> = before.map(|(id, _)| *id).collect();
         let mut entries = Vec::new();
         for old in before {
             let Some(listed) = self.servers.get_mut(&old) else { continue };
-            let was = std::mem::replace(&mut listed.line.state, ServerState::Gone);
+            let was = std::mem::replace(&mut listed.entry.state, ServerState::Gone);
             if was != ServerState::Gone {
-                entries.push(entry_of(old, &listed.line));
-                self.deadlines.set(self.now.plus(GONE), Deadline::ForgetServer(old));
+                entries.push(server_entry(old, &listed.entry));
+                self.deadlines.set(self.now.plus(FORGET_SERVER_AFTER), Deadline::ForgetServer(old));
             }
             out.push(Effect::CancelQueued(old));
             out.push(Effect::ServerReplaced(old));
@@ -184,32 +192,33 @@
         entries
     }
 
-    /// Forgets a call server that has left, unless calls still stand there.
+    /// Forgets a call server that has left, unless it still has calls.
     pub(super) fn forget_server(&mut self, server: ServerId, out: &mut Vec<Effect>) {
         let Some(listed) = self.servers.get(&server) else { return };
-        if listed.line.state != ServerState::Gone {
+        if listed.entry.state != ServerState::Gone {
             return;
         }
-        let out_there = self.open.values().any(|open| open.out.is_some_and(|o| o.server == server));
-        if out_there || self.book.any_at(server) {
-            return self.deadlines.set(self.now.plus(GONE), Deadline::ForgetServer(server));
+        let has_attempts = self.pending.values().any(|call| call.has_attempt_at(server));
+        if has_attempts || self.registry.has_calls_at(server) {
+            return self.deadlines.set(self.now.plus(FORGET_SERVER_AFTER), Deadline::ForgetServer(server));
         }
         if let Some(listed) = self.servers.remove(&server) {
-            self.note_change(|| Change::Unlisted(listed.source, listed.line.host.clone()));
-            self.keys.remove(&listed.line.host);
+            self.record_change(|| Change::Unlisted(listed.source, listed.entry.host.clone()));
+            self.keys.remove(&listed.entry.host);
             self.warnings.forget(server);
-            self.hosts.remove(&(listed.source, listed.line.host));
+            self.hosts.remove(&(listed.source, listed.entry.host));
         }
         out.push(Effect::ForgetServer(server));
     }
 }
 
-pub(super) fn entry_of(server: ServerId, line: &DirectoryEntry) -> ServerEntry {
+/// A directory entry in the form that the decision module takes.
+pub(super) fn server_entry(server: ServerId, entry: &DirectoryEntry) -> ServerEntry {
     ServerEntry {
         server,
-        cell: line.cell,
-        zone: line.zone,
-        started: Time(line.started_ms.saturating_mul(1000)),
-        state: line.state,
+        cell: entry.cell,
+        zone: entry.zone,
+        started: Time(entry.started_ms.saturating_mul(1000)),
+        state: entry.state,
     }
 }
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -1,4 +1,4 @@
-//! What the core hears and what it asks for. No wire's form shows here.
+//! Inputs and effects of the core, independent of any wire format.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,17 +7,17 @@
 
 use crate::interface::{Cause, Cell, LoadField, ServerId, ServerState, Span, Time};
 
-/// A call's name on the wires: 16 characters, passed on as they came.
+/// A call's identifier on the wire: 16 characters, passed on unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Sid(pub [u8; 16]);
 
 impl Sid {
-    /// Reads 16 hex digits.
+    /// Parses 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Sid> {
         let bytes: [u8; 16] = text.as_bytes().try_into().ok()?;
         bytes.iter().all(u8::is_ascii_hexdigit).then_some(Sid(bytes))
     }
-    /// The name that a number stands for, for fronts whose wire has no such name.
+    /// The identifier for a number; used by fronts whose protocol has no such identifier.
     pub fn from_number(number: u64) -> Sid {
         let mut bytes = [b'0'; 16];
         for (at, byte) in bytes.iter_mut().enumerate() {
@@ -26,7 +26,7 @@
         }
         Sid(bytes)
     }
-    /// The name as text.
+    /// The identifier as text.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or("")
     }
@@ -38,25 +38,25 @@
     }
 }
 
-/// Which front a caller stands at.
+/// The front that a client connection belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FrontKind {
-    /// Many calls share a connection; what concerns a call may go on any of them.
+    /// JSON lines: many calls share a connection, and a message about a call may go on any connection.
     JsonLines,
-    /// Each call has a leg of its own.
+    /// IAX2: each call has a call leg of its own.
     Iax2,
 }
 
-/// A caller's connection or leg.
+/// A client connection, or a call leg of the IAX2 front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Client {
     /// Its front.
     pub front: FrontKind,
-    /// Its number there, never used twice.
+    /// Its number within the front; never reused.
     pub no: u64,
 }
 
-/// How a call server is spoken to.
+/// The protocol used with a call server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Protocol {
     /// SIP over TCP.
@@ -65,201 +65,201 @@
     Iax2,
 }
 
-/// Who told of a call server.
+/// The directory that lists a call server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Source {
     /// The bulletin.
     Bulletin,
     /// DNS-SD records.
     DnsSd,
-    /// The call servers themselves.
+    /// Registrations by the call servers themselves.
     Registered,
 }
 
-/// A line of a directory.
+/// A directory's entry for one call server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryEntry {
-    /// The call server's name; stays over restarts.
+    /// The call server's host name; it stays the same across restarts.
     pub host: String,
-    /// Its address.
+    /// The address that it listens on.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// How it is spoken to.
+    /// The protocol used with it.
     pub protocol: Protocol,
-    /// Its number as a destination.
+    /// The number by which calls name it as their destination.
     pub cell: Cell,
-    /// Its zone, by position in the settings.
+    /// Index of its zone in the settings.
     pub zone: u16,
-    /// Unix milliseconds of a late start, or 0.
+    /// When its process started, in Unix milliseconds; 0 if that is not known or long ago.
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
     /// Its state.
     pub state: ServerState,
 }
 
-/// A set-up as a front took it in.
+/// A set-up request as parsed by a front.
 #[derive(Debug, Clone)]
 pub struct SetUp {
     /// The call.
     pub sid: Sid,
     /// Name of its class.
     pub class: Rc<str>,
-    /// Name of its tenant, where it names one.
+    /// Name of its tenant, if given.
     pub tenant: Option<Rc<str>>,
-    /// How long the caller still waits.
+    /// How long the caller will still wait for an answer.
     pub left: Span,
-    /// The number called, as it came.
+    /// The number called, as received.
     pub number: Rc<str>,
-    /// The cell of first choice.
+    /// The preferred cell.
     pub dest: Option<Cell>,
-    /// Whether the caller says that it has dialled before.
+    /// Whether the caller marks this as a repeat of an earlier set-up.
     pub redialled: bool,
-    /// The description.
+    /// The call description.
     pub body: Rc<str>,
 }
 
-/// How far an attempt had come when its way broke.
+/// How far an attempt had got when its connection or leg failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
-    /// No connection stood.
+    /// No connection was established.
     NotConnected,
-    /// It waited to be written; no byte had left.
+    /// It was queued; no byte had been written.
     Queued,
-    /// Its first byte had left.
+    /// At least its first byte had been written.
     Written,
     /// The call server had answered.
     Answered,
 }
 
 impl Progress {
-    /// Whether the attempt provably never ran.
+    /// Whether the call server cannot have processed the attempt.
     pub fn never_ran(self) -> bool {
         self < Progress::Written
     }
 }
 
-/// An attempt that ended without the call server saying so.
+/// An attempt that ended without an answer from the call server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{error} ({progress:?})")]
 pub struct AttemptError {
-    /// What broke.
+    /// The error.
     pub error: TransportError,
-    /// How far it had come.
+    /// How far the attempt had got.
     pub progress: Progress,
 }
 
-/// What can break under an attempt.
+/// Errors of the transport that end an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum TransportError {
-    /// The connection could not be made.
-    #[error("no connection")]
+    /// The connection could not be established.
+    #[error("could not connect to the call server")]
     ConnectFailed,
-    /// The connection ended.
-    #[error("the connection ended")]
+    /// The connection was closed.
+    #[error("connection closed")]
     ConnectionClosed,
-    /// What came could not be read.
-    #[error("unreadable bytes")]
+    /// The call server sent something that cannot be parsed.
+    #[error("malformed message from the call server")]
     Malformed,
-    /// Taken back before its first byte left.
-    #[error("withdrawn")]
+    /// The set-up was cancelled before it was sent, or before the call server acknowledged it.
+    #[error("set-up cancelled")]
     Cancelled,
-    /// Nothing was acknowledged.
-    #[error("not acknowledged")]
+    /// The call server acknowledged none of the retransmissions.
+    #[error("not acknowledged by the call server")]
     NotAcknowledged,
 }
 
-/// A call server's reason not to set a call up.
+/// The outcome that a call server or an adapter reports for a set-up that was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// Full; it never ran.
+    /// No capacity; the call did not run.
     Full,
-    /// A fault, or the number is busy.
+    /// The call server failed, or the number is busy.
     Error,
-    /// It never left.
+    /// It was not sent.
     NotSent,
-    /// TransportError on its way.
+    /// It was lost on the way; the call may have run.
     Reset,
 }
 
-/// Load figures as a call server told them.
+/// Load values as reported by a call server.
 pub type LoadValues = Vec<(LoadField, f32)>;
 
-/// What a call server's side says of a call.
+/// An event of a call, reported by the adapter for its call server.
 #[derive(Debug, Clone)]
 pub enum ServerEvent {
-    /// The call stands, with this description.
+    /// The call is established, with this description.
     Answered(Rc<str>),
     /// The set-up was refused.
     Refused(Refusal, Cause, LoadValues),
-    /// The call that stood is over, for this cause.
+    /// The established call has ended, with this cause.
     Released(u16, LoadValues),
-    /// The attempt's way broke.
+    /// The attempt's connection or leg failed.
     Lost(AttemptError),
 }
 
-/// What the core hears.
+/// Inputs of the core.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// A caller's connection or leg is there.
+    /// A client connection or leg was opened.
     ClientUp(Client),
-    /// It is gone.
+    /// A client connection or leg was closed.
     ClientDown(Client),
-    /// A test came in on it: this is the front that looks after controllers, and no caller.
+    /// A health check arrived on this connection: its peer is the platform's health checker, not a caller.
     HealthCheck(Client),
-    /// A set-up came in on it.
+    /// A set-up request arrived on this connection.
     SetUp(Client, SetUp),
-    /// A caller gives a set-up up or ends its call.
+    /// A caller cancels a set-up or ends its call, with this cause.
     HangUp(Client, Sid, u16),
-    /// A caller has heard of a release.
+    /// A caller confirms a release.
     ReleaseConfirmed(Sid),
-    /// A call server's side says this of a call.
+    /// An event of a call at a call server.
     Server(ServerId, Sid, ServerEvent),
-    /// A call server reports its load unasked.
+    /// A call server reports its load outside of any call.
     Load(ServerId, LoadValues),
-    /// A call server's process has died; its calls are cut.
+    /// A call server's process has died, and its calls with it.
     ServerDied(ServerId),
-    /// News of the call servers.
+    /// An update of a directory.
     List {
-        /// Who tells.
+        /// The directory.
         source: Source,
-        /// Whether what is not named has left.
+        /// Whether the list is complete: call servers missing from it have left.
         whole: bool,
-        /// The lines.
+        /// Its entries.
         hosts: Vec<DirectoryEntry>,
     },
-    /// A datagram of a peer.
+    /// A datagram from the peer of this number.
     PeerMessage(u16, Vec<u8>),
-    /// Time has passed.
+    /// Time has passed; nothing else happened.
     Tick,
 }
 
-/// What the core asks of the wires, in order.
+/// Effects that the protocol adapters carry out, in order.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Tell the caller that its call stands.
+    /// Tell the caller that its call is established, with this description.
     Answer(Client, Sid, Rc<str>),
-    /// Final answer: refused (`retryable`: trying again is harmless) or failed; how long to stay away.
+    /// Final answer: refused (`retryable`) or failed.
     Refuse {
-        /// Where the set-up came in.
+        /// The connection that the answer goes to.
         client: Client,
         /// The call.
         sid: Sid,
-        /// Whether trying again is harmless.
+        /// Whether the caller may safely try again.
         retryable: bool,
-        /// Time to stay away; zero: not said.
+        /// How long the caller is asked to wait before it tries again; zero: not specified.
         retry_after: Span,
     },
-    /// Tell the caller that its call is over.
+    /// Tell the caller that its call has ended, with this cause.
     Release(Client, Sid, u16),
-    /// Tell the caller that its release was heard.
+    /// Confirm to the caller that its hang-up was received.
     ConfirmRelease(Client, Sid),
-    /// No answer is owed on this connection for one of its set-ups any more.
+    /// One set-up of this connection no longer needs an answer on it.
     AnswerNoLongerOwed(Client),
-    /// This caller said what cannot be meant.
+    /// This client sent a request that cannot be valid.
     ProtocolViolation(Client),
     /// Send a set-up.
     Invite {
-        /// Where to.
+        /// The call server.
         server: ServerId,
         /// The call.
         sid: Sid,
@@ -267,45 +267,45 @@
         class: Rc<str>,
         /// The number called.
         number: Rc<str>,
-        /// How long an answer is waited for.
+        /// How long the core waits for an answer.
         left: Span,
-        /// The description.
+        /// The call description.
         body: Rc<str>,
     },
-    /// Give a set-up up.
+    /// Cancel a set-up.
     Cancel(ServerId, Sid),
-    /// End a call that stands.
+    /// End an established call, with this cause.
     Bye(ServerId, Sid, u16),
-    /// Keep up a way to this call server; one that has started anew knows nothing of ways made before that.
+    /// Keep a connection to this call server. A call server that has restarted knows nothing of earlier connections.
     Connect {
-        /// Which.
+        /// The call server.
         server: ServerId,
-        /// Where it listens.
+        /// The address that it listens on.
         address: SocketAddr,
-        /// How it is spoken to.
+        /// The protocol used with it.
         protocol: Protocol,
-        /// When it has started anew.
+        /// When it restarted, if this update shows that it has.
         restarted_at: Option<Time>,
     },
-    /// Take back what has not left for this call server.
+    /// Cancel the set-ups that have not been sent to this call server yet.
     CancelQueued(ServerId),
-    /// Make no more ways to this call server.
+    /// Open no more connections to this call server.
     StopConnecting(ServerId),
-    /// Another call server is at its address: its process is gone.
+    /// Another call server has taken its address: its process no longer exists.
     ServerReplaced(ServerId),
-    /// It has left for good: keep nothing of it.
+    /// It has left for good: discard all state about it.
     ForgetServer(ServerId),
-    /// A call stands there, as the records of a life before tell.
+    /// A call is established there, according to the records of the previous run.
     RestoreCall {
-        /// Where.
+        /// The call server.
         server: ServerId,
         /// The call.
         sid: Sid,
         /// The number called.
         number: Rc<str>,
     },
-    /// Send a datagram to a peer, or to all.
+    /// Send a datagram to one peer, or to all if `None`.
     SendToPeers(Option<u16>, Vec<u8>),
-    /// A line for the people on call.
+    /// Write a line to the log for operators.
     Log(String),
 }
