--- a/src/core/call_registry.rs
+++ b/src/core/call_registry.rs
@@ -166,7 +166,7 @@
         for sid in pending {
             self.cancel_call(sid, out);
         }
-        // Guards against losing releases that were written while the caller was closing the connection.
+        // Unconfirmed releases are sent again: they may have been written while the caller was closing the connection.
         let unconfirmed = self.registry.unconfirmed_releases.iter().filter(|(_, (on, _))| *on == client);
         let unconfirmed: Vec<(Sid, PendingRelease)> =
             unconfirmed.map(|(sid, (_, release))| (*sid, *release)).collect();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -67,7 +67,7 @@
     Recovery,
 }
 
-/// The parts of the protocol adapters that own deadlines.
+/// The deadlines of the protocol adapters, by owner and purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DeadlineOwner {
     /// A check whether a client connection has to be closed.
@@ -124,7 +124,7 @@
     pub sent: u64,
     /// Attempts cancelled.
     pub cancelled: u64,
-    /// Attempts that the checks of the send stage did not allow.
+    /// Attempts that the checks of the send stage held back.
     pub held_back: u64,
     /// Final answers: established.
     pub answered: u64,
@@ -195,7 +195,7 @@
     unknown_hang_ups: usize,
     /// Whether a call was ever established on it.
     served: bool,
-    /// Whether it has sent nothing but health checks.
+    /// Whether it has sent health checks and nothing else.
     #[serde(rename = "tests")]
     only_health_checks: bool,
 }
@@ -226,6 +226,7 @@
     #[serde(rename = "names")]
     sids: BTreeMap<CallId, Sid>,
     servers: BTreeMap<ServerId, ListedServer>,
+    /// Ids of the known call servers by directory and host name.
     hosts: BTreeMap<(Source, String), ServerId>,
     next_server: u32,
     /// Whether a directory has listed any call server so far.
@@ -321,7 +322,7 @@
                 self.hang_up_received(client, sid, cause, out);
             }
             Input::ReleaseConfirmed(sid) => self.registry.confirm_release(sid),
-            Input::Server(server, sid, says) => self.server_event(server, sid, says, out),
+            Input::Server(server, sid, event) => self.server_event(server, sid, event, out),
             Input::Load(server, report) => self.load_reported(server, report, out),
             Input::ServerDied(server) => self.server_died(server, out),
             Input::List { source, whole, hosts } => self.directory_update(source, whole, hosts, out),
@@ -364,7 +365,7 @@
             return false;
         }
         self.module.reconfigure(config.settings.clone());
-        // The seed and the fleet identity belong to the process: neither changes with a reload.
+        // The decision module's random numbers continue, and so do this controller's number and incarnation in the fleet.
         let (seed, fleet) = (self.config.seed, self.config.fleet.take());
         self.config = CoreConfig { seed, fleet, ..config };
         true
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -13,6 +13,7 @@
 pub const CAUSE_CUT: u16 = 41;
 
 impl Core {
+    /// Handles an event of a call at a call server.
     pub(super) fn server_event(
         &mut self,
         server: ServerId,
@@ -70,8 +71,8 @@
             caller.served = true;
         }
         out.push(Effect::Answer(call.client, sid, body));
-        if let Some(line) = self.servers.get(&attempt.server).map(|listed| &listed.entry) {
-            let (host, born_ms, number) = (line.host.clone(), line.started_ms, call.number.to_string());
+        if let Some(entry) = self.servers.get(&attempt.server).map(|listed| &listed.entry) {
+            let (host, born_ms, number) = (entry.host.clone(), entry.started_ms, call.number.to_string());
             let (since_ms, leg) = (self.now.0 / 1_000, call.client.front == FrontKind::Iax2);
             self.record_change(|| Change::Stands(sid, KeptCall { host, born_ms, number, since_ms, leg }));
         }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -5,7 +5,6 @@
 use crate::interface::{
     Action, Event, ListKind, LoadField, LoadReport, Outcome, ServerEntry, ServerId, ServerState, Span, Time,
 };
-
 use crate::recovery::records::Change;
 
 /// How long a call server that has left its directory is remembered; longer while it has calls.
--- a/src/core/take_in.rs
+++ b/src/core/take_in.rs
@@ -16,6 +16,7 @@
 const MAX_TEXT_BYTES: usize = 15 * 1024;
 
 impl Core {
+    /// Handles a set-up request.
     pub(super) fn take_in(&mut self, client: Client, set_up: SetUp, out: &mut Vec<Effect>) {
         if self.pending.contains_key(&set_up.sid) {
             return self.duplicate_set_up(client, &set_up, out);
--- a/src/core/tests.rs
+++ b/src/core/tests.rs
@@ -441,7 +441,7 @@
     assert_eq!((gauges(&drive).members, gauges(&drive).members_unavailable), (2, 2));
 }
 
-/// Guards against losing a release that was written while the caller was closing the connection.
+/// Guards against a release that is lost because it was written while the caller was closing the connection.
 #[test]
 fn an_unconfirmed_release_is_sent_again_when_its_connection_closes() {
     for confirmed in [false, true] {
--- a/src/core/types.rs
+++ b/src/core/types.rs
@@ -284,7 +284,7 @@
         address: SocketAddr,
         /// The protocol used with it.
         protocol: Protocol,
-        /// When it restarted, if this update shows that it has.
+        /// Its start time, if this update shows that it has restarted or has a new address.
         restarted_at: Option<Time>,
     },
     /// Cancel the set-ups that have not been sent to this call server yet.
