--- a/src/cli.rs
+++ b/src/cli.rs
@@ -16,9 +16,9 @@
 use crate::console;
 use crate::control::replication::ChangeId;
 use crate::control::{self, Called, Command, Reply, Request};
-use crate::instance::{Before, Bound, Instance};
+use crate::instance::{BoundInstance, Instance, Predecessor};
 use crate::logs::{self, LogConfig};
-use crate::signals::{self, Caught};
+use crate::signals::{self, SignalListener};
 use crate::takeover;
 
 /// Exit code where the program could not do its work.
@@ -188,7 +188,7 @@
 
 /// SIGTERM and SIGINT, listened for from this call on: what was taken in the first moments is answered too.
 fn told_to_stop() -> impl std::future::Future<Output = ()> {
-    let caught = Caught::of(&[signals::TERMINATE, signals::INTERRUPT]);
+    let caught = SignalListener::new(&[signals::TERMINATE, signals::INTERRUPT]);
     async move {
         match caught {
             Ok(mut caught) => caught.next().await,
@@ -198,11 +198,11 @@
 }
 
 /// SIGHUP: a new configuration. It is listened for from the first moment on, or it would end the program.
-struct Reloads(Option<Caught>);
+struct Reloads(Option<SignalListener>);
 
 impl Reloads {
     fn new() -> Reloads {
-        Reloads(Caught::of(&[signals::HANG_UP]).ok())
+        Reloads(SignalListener::new(&[signals::HANG_UP]).ok())
     }
     async fn next(&mut self) {
         match &mut self.0 {
@@ -251,10 +251,10 @@
         Err(why) => return complain(BAD_CONFIG, &why),
     };
     let before = match takeover_folder(&config, std::env::var_os("TMPDIR")) {
-        Some(dir) => Before::at(takeover::place(&dir, &config.name)),
-        None => Before::nobody(),
+        Some(dir) => Predecessor::find_at(takeover::socket_path(&dir, &config.name)),
+        None => Predecessor::none(),
     };
-    match Bound::open_after(before, config).await {
+    match BoundInstance::open_with_predecessor(before, config).await {
         Ok(bound) => {
             let instance = bound.handle();
             let counters = tokio::select! {
@@ -333,12 +333,12 @@
 
 async fn ask_console(command: Command, console: SocketAddr) -> Result<Called, ExitCode> {
     let what = match command {
-        Command::Info => console::Call::Info,
-        Command::Lameduck => console::Call::Lameduck,
-        Command::Rejoin => console::Call::Rejoin,
-        _ => console::Call::Ping,
+        Command::Info => console::ConsoleCommand::Info,
+        Command::Lameduck => console::ConsoleCommand::Lameduck,
+        Command::Rejoin => console::ConsoleCommand::Rejoin,
+        _ => console::ConsoleCommand::Ping,
     };
-    let answer = console::ask(console, what).await;
+    let answer = console::send_command(console, what).await;
     let answer =
         answer.map_err(|error| complain(NO_AGENT, &format!("no console answers at {console}: {error}")))?;
     Ok(Called { name: console.to_string(), answer })
--- a/src/config.rs
+++ b/src/config.rs
@@ -579,7 +579,7 @@
             return Err(("store.gather_ms".to_owned(), why));
         }
         let file = config.parent().unwrap_or(Path::new("")).join(self.file);
-        Ok(StoreConfig { file, gather: std::time::Duration::from_millis(self.gather_ms) })
+        Ok(StoreConfig { file, commit_delay: std::time::Duration::from_millis(self.gather_ms) })
     }
 }
 
--- a/src/console.rs
+++ b/src/console.rs
@@ -28,7 +28,7 @@
 
 /// What may be called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Call {
+pub enum ConsoleCommand {
     /// Can this process serve?
     Ping,
     /// The figures.
@@ -41,7 +41,7 @@
 
 /// A line that is no call.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoCall {
+pub enum CommandError {
     /// It names nothing that is known here.
     #[error("unknown call '{0}'; known are PING, INFO, LAMEDUCK and REJOIN")]
     Unknown(String),
@@ -55,48 +55,48 @@
 
 /// An answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
+pub enum ConsoleReply {
     /// It is so, or it is done: a few words, and lines that end with `EOT` where some were asked for.
     Success(&'static str, Option<String>),
     /// It is not, and why.
     Failure(String),
 }
 
-impl Call {
+impl ConsoleCommand {
     /// Reads a line, without its end.
-    pub fn parse(line: &[u8]) -> Result<Call, NoCall> {
+    pub fn parse(line: &[u8]) -> Result<ConsoleCommand, CommandError> {
         let text = String::from_utf8_lossy(line);
         match text.trim() {
-            "PING" => Ok(Call::Ping),
-            "INFO" => Ok(Call::Info),
-            "LAMEDUCK" => Ok(Call::Lameduck),
-            "REJOIN" => Ok(Call::Rejoin),
-            other => Err(NoCall::Unknown(other.chars().filter(|c| !c.is_control()).take(32).collect())),
+            "PING" => Ok(ConsoleCommand::Ping),
+            "INFO" => Ok(ConsoleCommand::Info),
+            "LAMEDUCK" => Ok(ConsoleCommand::Lameduck),
+            "REJOIN" => Ok(ConsoleCommand::Rejoin),
+            other => Err(CommandError::Unknown(other.chars().filter(|c| !c.is_control()).take(32).collect())),
         }
     }
     /// The call as it is written.
     pub fn word(self) -> &'static str {
         match self {
-            Call::Ping => "PING",
-            Call::Info => "INFO",
-            Call::Lameduck => "LAMEDUCK",
-            Call::Rejoin => "REJOIN",
+            ConsoleCommand::Ping => "PING",
+            ConsoleCommand::Info => "INFO",
+            ConsoleCommand::Lameduck => "LAMEDUCK",
+            ConsoleCommand::Rejoin => "REJOIN",
         }
     }
 }
 
-impl std::fmt::Display for Answer {
+impl std::fmt::Display for ConsoleReply {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Answer::Success(what, None) => writeln!(f, "SUCCESS {what}"),
-            Answer::Success(what, Some(lines)) => write!(f, "SUCCESS {what}\n{lines}EOT\n"),
-            Answer::Failure(why) => writeln!(f, "FAILURE {why}"),
+            ConsoleReply::Success(what, None) => writeln!(f, "SUCCESS {what}"),
+            ConsoleReply::Success(what, Some(lines)) => write!(f, "SUCCESS {what}\n{lines}EOT\n"),
+            ConsoleReply::Failure(why) => writeln!(f, "FAILURE {why}"),
         }
     }
 }
 
 /// Calls the console at this address, as the tool does: its answer as it came.
-pub async fn ask(address: SocketAddr, call: Call) -> io::Result<String> {
+pub async fn send_command(address: SocketAddr, call: ConsoleCommand) -> io::Result<String> {
     let talk = async {
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(format!("{}\n", call.word()).as_bytes()).await?;
@@ -159,7 +159,7 @@
 pub async fn serve(
     listener: Rc<TcpListener>,
     most: usize,
-    answer: impl Fn(Call) -> Answer + Clone + 'static,
+    answer: impl Fn(ConsoleCommand) -> ConsoleReply + Clone + 'static,
 ) {
     let waiting = Rc::new(Waiting::default());
     loop {
@@ -179,9 +179,9 @@
                         }
                     };
                     held.said();
-                    let told = match line.and_then(|line| Call::parse(&line)) {
+                    let told = match line.and_then(|line| ConsoleCommand::parse(&line)) {
                         Ok(call) => answer(call),
-                        Err(error) => Answer::Failure(error.to_string()),
+                        Err(error) => ConsoleReply::Failure(error.to_string()),
                     };
                     if matches!(timeout(READ_WITHIN, tell(&stream, &told.to_string())).await, Ok(Ok(()))) {
                         // Guards against a reset that destroys the answer where more had come than was read.
@@ -196,26 +196,26 @@
     }
 }
 
-async fn hear(stream: &TcpStream) -> Result<Vec<u8>, NoCall> {
+async fn hear(stream: &TcpStream) -> Result<Vec<u8>, CommandError> {
     let (until, mut line) = (Instant::now() + PATIENCE, Vec::new());
     loop {
         let mut chunk = [0; LONGEST];
         match timeout_at(until, stream.readable()).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) | Err(_) => return Err(NoCall::NoEnd),
+            Ok(Err(_)) | Err(_) => return Err(CommandError::NoEnd),
         }
         match stream.try_read(&mut chunk) {
-            Ok(0) => return Err(NoCall::NoEnd),
+            Ok(0) => return Err(CommandError::NoEnd),
             Ok(n) => line.extend_from_slice(&chunk[..n]),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
-            Err(_) => return Err(NoCall::NoEnd),
+            Err(_) => return Err(CommandError::NoEnd),
         }
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
-            return if line.len() > LONGEST { Err(NoCall::TooLong) } else { Ok(line) };
+            return if line.len() > LONGEST { Err(CommandError::TooLong) } else { Ok(line) };
         }
         if line.len() > LONGEST {
-            return Err(NoCall::TooLong);
+            return Err(CommandError::TooLong);
         }
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -17,9 +17,9 @@
 use tokio::task::spawn_local;
 
 use crate::config::{self, InstanceConfig, OperatorConfig};
-use crate::console::{Answer, Call};
+use crate::console::{ConsoleCommand, ConsoleReply};
 use crate::drain::Phase;
-use crate::instance::{Bound, Instance, StartError};
+use crate::instance::{BoundInstance, Instance, StartError};
 use crate::interface::ServerState;
 
 use replication::ReplicationRequest;
@@ -175,7 +175,7 @@
     let mut bounds = Vec::new();
     for instance in config.instances {
         let name = instance.name.clone();
-        bounds.push(Bound::open(instance).await.map_err(|why| AgentError::Start { name, why })?);
+        bounds.push(BoundInstance::open(instance).await.map_err(|why| AgentError::Start { name, why })?);
     }
     let listener = listen(&config.control).await?;
     let agent = Rc::new(Agent {
@@ -251,7 +251,7 @@
 }
 
 impl Agent {
-    fn start(self: &Rc<Self>, bound: Bound) {
+    fn start(self: &Rc<Self>, bound: BoundInstance) {
         let (stop, done) = (Rc::new(Notify::new()), Rc::new(Cell::new(false)));
         let again: Rc<RefCell<Option<InstanceConfig>>> = Rc::default();
         let text = |address: Option<std::net::SocketAddr>| address.map(|a| a.to_string());
@@ -289,7 +289,7 @@
 
     async fn open(self: &Rc<Self>, config: InstanceConfig) -> Result<(), String> {
         let name = config.name.clone();
-        let bound = Bound::open(config).await;
+        let bound = BoundInstance::open(config).await;
         let bound = bound.map_err(|why| AgentError::Start { name, why }.to_string())?;
         self.start(bound);
         Ok(())
@@ -384,10 +384,10 @@
                 Ok(()) => Reply::Status { instances: self.status(None) },
                 Err(why) => Reply::Error { why },
             },
-            Command::Ping => self.call(wanted, Call::Ping),
-            Command::Info => self.call(wanted, Call::Info),
-            Command::Lameduck | Command::Drain => self.call(wanted, Call::Lameduck),
-            Command::Rejoin => self.call(wanted, Call::Rejoin),
+            Command::Ping => self.call(wanted, ConsoleCommand::Ping),
+            Command::Info => self.call(wanted, ConsoleCommand::Info),
+            Command::Lameduck | Command::Drain => self.call(wanted, ConsoleCommand::Lameduck),
+            Command::Rejoin => self.call(wanted, ConsoleCommand::Rejoin),
             Command::Stop => {
                 self.ask_to_stop(wanted);
                 if wanted.is_none() {
@@ -400,12 +400,12 @@
     }
 
     /// Calls instances as their consoles do. Those that have ended can do nothing any more.
-    fn call(&self, wanted: Option<&str>, call: Call) -> Reply {
+    fn call(&self, wanted: Option<&str>, call: ConsoleCommand) -> Reply {
         let running = self.running.borrow();
         let asked = running.iter().filter(|r| wanted.is_none_or(|name| r.name == name));
         let called = |r: &Running| match r.done.get() {
-            true => Answer::Failure("it has stopped".to_owned()),
-            false => r.instance.called(call),
+            true => ConsoleReply::Failure("it has stopped".to_owned()),
+            false => r.instance.execute(call),
         };
         let answers = asked.map(|r| Called { name: r.name.clone(), answer: called(r).to_string() });
         Reply::Called { instances: answers.collect() }
@@ -423,9 +423,9 @@
         let asked = running.iter().filter(|r| wanted.is_none_or(|name| r.name == name));
         let state = |r: &Running| match r.instance.phase() {
             _ if r.done.get() => "stopped",
-            Phase::Emptying { ends: true, .. } => "ending",
-            Phase::Emptying { .. } if r.instance.empty() => "empty",
-            Phase::Emptying { .. } => "emptying",
+            Phase::Draining { stopping: true, .. } => "ending",
+            Phase::Draining { .. } if r.instance.is_drained() => "empty",
+            Phase::Draining { .. } => "emptying",
             Phase::Working if r.instance.ready() => "serving",
             Phase::Working => "waiting for a list",
         };
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -24,11 +24,13 @@
     #[default]
     Working,
     /// It sends callers away.
-    Emptying {
+    #[serde(rename = "Emptying")]
+    Draining {
         /// Since when.
         since: Time,
         /// Whether the process ends then.
-        ends: bool,
+        #[serde(rename = "ends")]
+        stopping: bool,
     },
 }
 
@@ -73,12 +75,12 @@
     /// `LAMEDUCK`. One more changes nothing: the times count from the first.
     pub fn lameduck(&mut self, now: Time) {
         if self.0 == Phase::Working {
-            self.0 = Phase::Emptying { since: now, ends: false };
+            self.0 = Phase::Draining { since: now, stopping: false };
         }
     }
     /// `REJOIN`, also where it never left.
     pub fn rejoin(&mut self) -> Result<(), AboutToEnd> {
-        if let Phase::Emptying { ends: true, .. } = self.0 {
+        if let Phase::Draining { stopping: true, .. } = self.0 {
             return Err(AboutToEnd);
         }
         self.0 = Phase::Working;
@@ -86,8 +88,8 @@
     }
     /// SIGTERM: empties, and the process ends. Counts anew where callers were being sent away already.
     pub fn end(&mut self, now: Time) {
-        if !matches!(self.0, Phase::Emptying { ends: true, .. }) {
-            self.0 = Phase::Emptying { since: now, ends: true };
+        if !matches!(self.0, Phase::Draining { stopping: true, .. }) {
+            self.0 = Phase::Draining { since: now, stopping: true };
         }
     }
     /// Whether tests pass.
@@ -98,15 +100,17 @@
     pub fn refuses_from(&self) -> Option<Time> {
         match self.0 {
             Phase::Working => None,
-            Phase::Emptying { since, ends } => Some(since.plus(if ends { TAKES_TO_THE_END } else { TAKES })),
+            Phase::Draining { since, stopping } => {
+                Some(since.plus(if stopping { TAKES_TO_THE_END } else { TAKES }))
+            }
         }
     }
     /// Until when new connections come.
     pub fn new_ones_until(&self) -> Option<Time> {
         match self.0 {
             Phase::Working => None,
-            Phase::Emptying { since, ends } => {
-                Some(since.plus(if ends { NEW_ONES_COME_TO_THE_END } else { NEW_ONES_COME }))
+            Phase::Draining { since, stopping } => {
+                Some(since.plus(if stopping { NEW_ONES_COME_TO_THE_END } else { NEW_ONES_COME }))
             }
         }
     }
@@ -118,7 +122,7 @@
         // One that has just come is given time to say what it came for.
         let first = new_ones.max(came.plus(NEW_ONES_COME));
         let last = match self.0 {
-            Phase::Emptying { since, ends: false } => since.plus(RELEASES),
+            Phase::Draining { since, stopping: false } => since.plus(RELEASES),
             _ => refuses,
         };
         let until = if carries { last.max(first) } else { first };
@@ -131,7 +135,7 @@
     /// Whether the process may leave: it was told to, nothing more is taken, and nobody is owed an answer. `held` tells
     /// what else is there. `longest`: what any caller waits; who reads no answers keeps no process from its end.
     pub fn may_leave(&self, held: Held, longest: Span, now: Time) -> bool {
-        let Phase::Emptying { ends: true, .. } = self.0 else { return false };
+        let Phase::Draining { stopping: true, .. } = self.0 else { return false };
         let Some(refuses) = self.refuses_from() else { return false };
         now >= refuses
             && match held {
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -1,16 +1,16 @@
 //! One controller at work: its core, its wires and its sockets on one current-thread runtime.
 
 mod callers;
-mod follow;
+mod counters;
+mod directories;
 mod handover;
-mod keep;
 mod links;
-mod notices;
-mod open;
 mod operators;
+mod outage_log;
+mod persistence;
 mod reload;
 mod replication;
-mod tally;
+mod startup;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -43,14 +43,14 @@
 use crate::upstream::iax2::Servers;
 use crate::upstream::sip::Trunks;
 use crate::upstream::Todo;
-use follow::Followed;
-pub use handover::Before;
+use counters::LocalCounters;
+use directories::Followed;
+pub use handover::Predecessor;
 use handover::{Doors, Side, Unfinished};
-use keep::Keeper;
-pub use keep::StoreConfig;
-pub use open::{Bound, StartError};
+use persistence::RecordWriter;
+pub use persistence::StoreConfig;
 use replication::Replication;
-use tally::Tally;
+pub use startup::{BoundInstance, StartError};
 
 /// How often the end of the last calls is looked for while stopping.
 const LOOK_EVERY: Duration = Duration::from_millis(5);
@@ -90,10 +90,10 @@
     servers_socket: Option<Rc<UdpSocket>>,
     peer_socket: Option<Rc<UdpSocket>>,
     peers: Peers,
-    tally: Tally,
+    tally: LocalCounters,
     drain: Drain,
     /// Who writes down what a life after this one needs; `None`: nobody.
-    keeper: Option<Keeper>,
+    keeper: Option<RecordWriter>,
     /// The sockets of connections that stand.
     lines: BTreeMap<(Side, u64), Rc<Line>>,
 }
@@ -124,7 +124,7 @@
     leave: Notify,
     panics: Cell<u64>,
     /// What fails around it.
-    outages: RefCell<Outages<notices::Party>>,
+    outages: RefCell<Outages<outage_log::Party>>,
     /// Its tasks are about to be dropped: none may be added.
     ended: Cell<bool>,
     /// Callers' connections that are ended and wait for the other side.
--- a/src/instance/tally.rs
+++ b/src/instance/counters.rs
@@ -2,7 +2,7 @@
 
 /// Counts that belong to no wire's own state.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct LocalCounters {
     pub(super) lines: u64,
     pub(super) sip: u64,
     pub(super) bulletin: u64,
--- a/src/instance/handover.rs
+++ b/src/instance/handover.rs
@@ -23,7 +23,7 @@
 use crate::interface::Time;
 use crate::net::conn::Line;
 use crate::net::guests::Guests;
-use crate::takeover::{Kind, TakeoverError, Way};
+use crate::takeover::{Kind, TakeoverChannel, TakeoverError};
 use crate::upstream::sip::Trunks;
 
 /// A successor that has connected must say what it wants within this.
@@ -51,7 +51,7 @@
     Line(Side, u64, Bytes),
 }
 
-/// All that is handed over, as it is written; [`Held`] is the same as it is read.
+/// All that is handed over, as it is written; [`TakeoverState`] is the same as it is read.
 #[derive(Serialize)]
 struct Holds<'a> {
     now: Time,
@@ -67,7 +67,7 @@
 }
 
 #[derive(Deserialize)]
-struct Held {
+struct TakeoverState {
     now: Time,
     after: u64,
     classes: Vec<Rc<str>>,
@@ -84,7 +84,7 @@
 
 /// What a process goes on with.
 pub struct Inheritance {
-    held: Held,
+    held: TakeoverState,
     pub(super) listener: Option<TcpListener>,
     pub(super) console: Option<TcpListener>,
     pub(super) peers: Option<UdpSocket>,
@@ -92,11 +92,12 @@
 }
 
 impl Inheritance {
-    /// Asks the predecessor for what it holds. Nothing has changed hands yet: see [`Way::take`].
-    pub fn ask(way: &mut Way, config: &InstanceConfig) -> Result<Inheritance, TakeoverError> {
+    /// Asks the predecessor for what it holds. Nothing has changed hands yet: see [`TakeoverChannel::take`].
+    pub fn ask(way: &mut TakeoverChannel, config: &InstanceConfig) -> Result<Inheritance, TakeoverError> {
         let (state, sockets) = way.ask()?;
         let unusable = |why: String| TakeoverError::Unusable(why);
-        let mut held: Held = rmp_serde::from_slice(&state).map_err(|error| unusable(error.to_string()))?;
+        let mut held: TakeoverState =
+            rmp_serde::from_slice(&state).map_err(|error| unusable(error.to_string()))?;
         if held.classes != config.core.classes {
             return Err(unusable("the list of classes differs".to_owned()));
         }
@@ -202,7 +203,7 @@
         }
         // A predecessor that was told to end is ending; this process is not.
         state.drain = match held.drain.phase() {
-            Phase::Emptying { ends: false, .. } => held.drain,
+            Phase::Draining { stopping: false, .. } => held.drain,
             _ => Drain::default(),
         };
         state.core.refuse_set_ups_from(state.drain.refuses_from());
@@ -250,7 +251,7 @@
         let mut head = [0; 8];
         let read = timeout(SPEAKS_WITHIN, stream.read_exact(&mut head)).await;
         read.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        let mut way = Way::to_successor(stream.into_std()?)?;
+        let mut way = TakeoverChannel::to_successor(stream.into_std()?)?;
         let kind = match Kind::asked(&head) {
             Ok(kind) => kind,
             Err(error) => {
@@ -324,19 +325,19 @@
 }
 
 /// How a process comes to its start: alone, or after another.
-pub struct Before {
-    way: Option<Way>,
+pub struct Predecessor {
+    way: Option<TakeoverChannel>,
     place: Option<PathBuf>,
 }
 
-impl Before {
+impl Predecessor {
     /// Nobody is before it, and nobody comes after.
-    pub fn nobody() -> Before {
-        Before { way: None, place: None }
+    pub fn none() -> Predecessor {
+        Predecessor { way: None, place: None }
     }
     /// Looks for a predecessor at this place, where a successor will look too.
-    pub fn at(place: PathBuf) -> Before {
-        Before { way: Way::to_predecessor(&place), place: Some(place) }
+    pub fn find_at(place: PathBuf) -> Predecessor {
+        Predecessor { way: TakeoverChannel::to_predecessor(&place), place: Some(place) }
     }
     /// Whether there is a predecessor.
     pub fn somebody(&self) -> bool {
@@ -351,7 +352,7 @@
     pub(super) fn inherit(&mut self, config: &InstanceConfig) -> Option<Inheritance> {
         let place = self.place.clone()?;
         for _ in 0..TRIES {
-            let mut way = self.way.take().or_else(|| Way::to_predecessor(&place))?;
+            let mut way = self.way.take().or_else(|| TakeoverChannel::to_predecessor(&place))?;
             let taken = Inheritance::ask(&mut way, config).and_then(|all| way.take().map(|()| all));
             match taken {
                 Ok(all) => return Some(all),
@@ -371,7 +372,7 @@
     /// Asks the predecessor to finish what it took, and to end. To be said by a process that can serve without what the
     /// other holds, or there would be nobody.
     pub(super) fn ask_to_leave(&self) {
-        if let Some(mut way) = self.place.as_ref().and_then(|place| Way::to_predecessor(place)) {
+        if let Some(mut way) = self.place.as_ref().and_then(|place| TakeoverChannel::to_predecessor(place)) {
             let _ = way.say(Kind::Leave, b"");
         }
     }
--- a/src/instance/operators.rs
+++ b/src/instance/operators.rs
@@ -4,7 +4,7 @@
 
 use tokio::net::TcpListener;
 
-use crate::console::{self, Answer, Call};
+use crate::console::{self, ConsoleCommand, ConsoleReply};
 use crate::core::DeadlineOwner;
 use crate::drain::{AboutToEnd, Drain, Held, Phase};
 use crate::instance::{Instance, State};
@@ -27,22 +27,22 @@
 impl Instance {
     /// Answers operators for good.
     pub(super) async fn hear_operators(self, listener: Rc<TcpListener>, most: usize) {
-        console::serve(listener, most, move |call| self.called(call)).await;
+        console::serve(listener, most, move |call| self.execute(call)).await;
     }
 
     /// Does what an operator calls for.
-    pub fn called(&self, call: Call) -> Answer {
+    pub fn execute(&self, call: ConsoleCommand) -> ConsoleReply {
         match call {
-            Call::Ping if self.ready() => Answer::Success("serving", None),
-            Call::Ping => Answer::Failure("no list of call servers is held yet".to_owned()),
-            Call::Info => Answer::Success("figures follow", Some(self.figures())),
-            Call::Lameduck => {
+            ConsoleCommand::Ping if self.ready() => ConsoleReply::Success("serving", None),
+            ConsoleCommand::Ping => ConsoleReply::Failure("no list of call servers is held yet".to_owned()),
+            ConsoleCommand::Info => ConsoleReply::Success("figures follow", Some(self.metrics_text())),
+            ConsoleCommand::Lameduck => {
                 self.lameduck();
-                Answer::Success("emptying", None)
+                ConsoleReply::Success("emptying", None)
             }
-            Call::Rejoin => match self.rejoin() {
-                Ok(()) => Answer::Success("working", None),
-                Err(error) => Answer::Failure(error.to_string()),
+            ConsoleCommand::Rejoin => match self.rejoin() {
+                Ok(()) => ConsoleReply::Success("working", None),
+                Err(error) => ConsoleReply::Failure(error.to_string()),
             },
         }
     }
@@ -86,7 +86,7 @@
 
     /// Whether it was asked to stop.
     pub fn stopping(&self) -> bool {
-        matches!(self.phase(), Phase::Emptying { ends: true, .. })
+        matches!(self.phase(), Phase::Draining { stopping: true, .. })
     }
 
     fn held(&self) -> Held {
@@ -94,7 +94,7 @@
     }
 
     /// Whether all that was taken is answered, and no caller is connected.
-    pub fn empty(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.held() == Held::Nothing
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The figures, one a line.
-    pub fn figures(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let state = self.0.state.borrow();
         let mut text = metrics::format_metrics(state.core.metrics(), &self.gauges(&state));
         if let (Some(counts), Some(credit)) = (state.core.fleet_counts(), state.core.credit_counts()) {
--- a/src/instance/keep.rs
+++ b/src/instance/persistence.rs
@@ -24,7 +24,7 @@
     pub file: PathBuf,
     /// Changes are gathered for so long before they are synced. Longer: fewer syncs, and so much more is unknown after a
     /// power loss.
-    pub gather: Duration,
+    pub commit_delay: Duration,
 }
 
 /// What the thread tells.
@@ -37,27 +37,27 @@
 
 /// The thread that writes.
 #[derive(Debug)]
-pub(super) struct Keeper {
+pub(super) struct RecordWriter {
     changes: Option<SyncSender<Vec<Change>>>,
     writing: Option<JoinHandle<()>>,
     told: Arc<Told>,
     found: Option<Found>,
 }
 
-impl Keeper {
+impl RecordWriter {
     /// Opens the records of the life before.
-    pub(super) fn open(config: &StoreConfig) -> Result<Keeper, StoreError> {
+    pub(super) fn open(config: &StoreConfig) -> Result<RecordWriter, StoreError> {
         let store = Store::open(&config.file)?;
         let items = store.scan(b"")?;
         let found = Found::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice())));
         let (changes, waiting) = sync_channel(MOST_WAITING);
         let told = Arc::new(Told::default());
-        let (file, gather, tells) = (config.file.clone(), config.gather, told.clone());
+        let (file, commit_delay, tells) = (config.file.clone(), config.commit_delay, told.clone());
         let writing = std::thread::Builder::new()
             .name("store".to_owned())
-            .spawn(move || write(store, &file, gather, &waiting, &tells))
+            .spawn(move || write(store, &file, commit_delay, &waiting, &tells))
             .map_err(|error| StoreError::Storage(format!("no thread to write with: {error}")))?;
-        Ok(Keeper { changes: Some(changes), writing: Some(writing), told, found: Some(found) })
+        Ok(RecordWriter { changes: Some(changes), writing: Some(writing), told, found: Some(found) })
     }
 
     fn write(&mut self, changes: Vec<Change>) {
@@ -85,7 +85,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for RecordWriter {
     /// What was handed over is written before the process ends.
     fn drop(&mut self) {
         self.changes = None;
@@ -95,10 +95,16 @@
     }
 }
 
-fn write(mut store: Store, file: &Path, gather: Duration, waiting: &Receiver<Vec<Change>>, told: &Told) {
+fn write(
+    mut store: Store,
+    file: &Path,
+    commit_delay: Duration,
+    waiting: &Receiver<Vec<Change>>,
+    told: &Told,
+) {
     while let Ok(first) = waiting.recv() {
-        if gather > Duration::ZERO {
-            std::thread::sleep(gather);
+        if commit_delay > Duration::ZERO {
+            std::thread::sleep(commit_delay);
         }
         let mut batch = Batch::default();
         let mut put = |changes: Vec<Change>| {
--- a/src/instance/reload.rs
+++ b/src/instance/reload.rs
@@ -4,8 +4,8 @@
 
 use crate::config::InstanceConfig;
 use crate::directory::bulletin::Page;
-use crate::instance::follow::Followed;
-use crate::instance::open::random;
+use crate::instance::directories::Followed;
+use crate::instance::startup::random;
 use crate::instance::{Instance, State};
 use crate::interface::{Span, Time};
 use crate::upstream::Todo;
--- a/src/instance/open.rs
+++ b/src/instance/startup.rs
@@ -17,10 +17,10 @@
 use crate::drain::Drain;
 use crate::front::iax2::door::Door;
 use crate::front::iax2::{Callers, Usual};
-use crate::instance::handover::{Before, Doors, Unfinished};
-use crate::instance::keep::Keeper;
+use crate::instance::handover::{Doors, Predecessor, Unfinished};
+use crate::instance::persistence::RecordWriter;
 use crate::instance::replication::Replication;
-use crate::instance::{BoundTo, Clock, Followed, Instance, Shared, State, Tally};
+use crate::instance::{BoundTo, Clock, Followed, Instance, LocalCounters, Shared, State};
 use crate::net::guests::Guests;
 use crate::net::pool::Pool;
 use crate::net::queue::Budget;
@@ -63,22 +63,25 @@
 }
 
 /// The sockets of a controller that is ready to run.
-pub struct Bound {
+pub struct BoundInstance {
     instance: Instance,
     config: InstanceConfig,
     doors: Doors,
     left: Unfinished,
 }
 
-impl Bound {
+impl BoundInstance {
     /// Opens what the controller listens at.
-    pub async fn open(config: InstanceConfig) -> Result<Bound, StartError> {
-        Bound::open_after(Before::nobody(), config).await
+    pub async fn open(config: InstanceConfig) -> Result<BoundInstance, StartError> {
+        BoundInstance::open_with_predecessor(Predecessor::none(), config).await
     }
 
     /// The same beside a predecessor, whose place it takes once all else is there. Guards against callers left without
     /// a controller by a successor that could not serve.
-    pub async fn open_after(mut before: Before, config: InstanceConfig) -> Result<Bound, StartError> {
+    pub async fn open_with_predecessor(
+        mut before: Predecessor,
+        config: InstanceConfig,
+    ) -> Result<BoundInstance, StartError> {
         let somebody = before.somebody();
         // An address that the predecessor holds comes along with all the rest.
         let unless_held = |error: &io::Error| somebody && error.kind() == io::ErrorKind::AddrInUse;
@@ -136,7 +139,7 @@
             }
         }
         let keeper = config.store.as_ref().map(|store| {
-            Keeper::open(store).map_err(|why| StartError::Store { file: store.file.clone(), why })
+            RecordWriter::open(store).map_err(|why| StartError::Store { file: store.file.clone(), why })
         });
         let keeper = keeper.transpose()?;
         let limits = config.limits;
@@ -152,7 +155,7 @@
             servers_socket,
             peer_socket,
             peers: config.peers.clone(),
-            tally: Tally::default(),
+            tally: LocalCounters::default(),
             drain: Drain::default(),
             keeper,
             lines: BTreeMap::new(),
@@ -204,7 +207,7 @@
         });
         let doors =
             Doors { listener: RefCell::new(listener.map(Rc::new)), console: console.map(Rc::new), heirs };
-        Ok(Bound { instance, config, doors, left })
+        Ok(BoundInstance { instance, config, doors, left })
     }
 
     /// A handle for whoever wants to look on.
@@ -231,7 +234,7 @@
     /// Serves until `stop`, then finishes what was taken.
     pub async fn run(self, stop: impl std::future::Future<Output = ()>) -> Counters {
         let local = LocalSet::new();
-        let Bound { instance, config, doors, left } = self;
+        let BoundInstance { instance, config, doors, left } = self;
         local.run_until(instance.clone().serve(config, doors, left, stop)).await;
         instance.counters()
     }
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -15,15 +15,15 @@
 /// SIGHUP: a new configuration.
 pub const HANG_UP: i32 = signal_hook::consts::SIGHUP;
 
-/// Any of some signals, from the moment of [`Caught::of`] on: from then on they no longer end the process.
-pub struct Caught {
+/// Any of some signals, from the moment of [`SignalListener::new`] on: from then on they no longer end the process.
+pub struct SignalListener {
     pipe: AsyncFd<PipeReader>,
 }
 
-impl Caught {
+impl SignalListener {
     /// Catches these signals (numbers as in `signal(7)`). Errors: no pipe, or a signal that may not be caught
     /// (SIGKILL, SIGSTOP); then the signals keep their usual effect.
-    pub fn of(signals: &[i32]) -> io::Result<Caught> {
+    pub fn new(signals: &[i32]) -> io::Result<SignalListener> {
         let (reader, writer) = io::pipe()?;
         rustix::fs::fcntl_setfl(&reader, rustix::fs::OFlags::NONBLOCK)?;
         for &signal in signals {
@@ -34,7 +34,7 @@
         // alone from here to its end, and the replacement needs `unsafe`, which the crate forbids.
         #[allow(deprecated)]
         let pipe = AsyncFd::new(reader)?;
-        Ok(Caught { pipe })
+        Ok(SignalListener { pipe })
     }
 
     /// Waits for the next of them; several that came together count as one. Never returns if the pipe fails.
--- a/src/takeover.rs
+++ b/src/takeover.rs
@@ -110,7 +110,7 @@
 }
 
 /// Where a controller of this name waits for its successor.
-pub fn place(dir: &Path, name: &str) -> PathBuf {
+pub fn socket_path(dir: &Path, name: &str) -> PathBuf {
     let name: String =
         name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).take(40).collect();
     dir.join(format!("lockpoint-{name}.takeover"))
@@ -136,7 +136,7 @@
 
 /// One end of the way between two processes.
 #[derive(Debug)]
-pub struct Way {
+pub struct TakeoverChannel {
     stream: UnixStream,
     patience: Duration,
     /// When the exchange that is under way must have come to its end. Guards against one who reads or writes a little
@@ -147,11 +147,11 @@
 /// What is written or read before the time is looked at again.
 const PIECE: usize = 32 * 1024;
 
-impl Way {
+impl TakeoverChannel {
     /// To the predecessor at this place; `None`: there is none. A socket that nobody answers at is removed.
-    pub fn to_predecessor(place: &Path) -> Option<Way> {
+    pub fn to_predecessor(place: &Path) -> Option<TakeoverChannel> {
         match UnixStream::connect(place) {
-            Ok(stream) => Way::of(stream, WAITS).ok(),
+            Ok(stream) => TakeoverChannel::of(stream, WAITS).ok(),
             Err(error) => {
                 if error.kind() == io::ErrorKind::ConnectionRefused {
                     let _ = remove_socket(place);
@@ -162,13 +162,13 @@
     }
 
     /// From a successor that has connected.
-    pub fn to_successor(stream: UnixStream) -> io::Result<Way> {
-        Way::of(stream, STANDS_STILL)
+    pub fn to_successor(stream: UnixStream) -> io::Result<TakeoverChannel> {
+        TakeoverChannel::of(stream, STANDS_STILL)
     }
 
-    fn of(stream: UnixStream, patience: Duration) -> io::Result<Way> {
+    fn of(stream: UnixStream, patience: Duration) -> io::Result<TakeoverChannel> {
         stream.set_nonblocking(false)?;
-        Ok(Way { stream, patience, ends: Instant::now() + patience })
+        Ok(TakeoverChannel { stream, patience, ends: Instant::now() + patience })
     }
 
     /// An exchange begins.
--- a/tests/iax2.rs
+++ b/tests/iax2.rs
@@ -73,7 +73,7 @@
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 2_000, 0, "x");
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
-        let figures = controller.instance.figures();
+        let figures = controller.instance.metrics_text();
         for line in ["judge-call.completed:1|c", "upstream_requests:1|c", "pending:1|g", "members:1|g"] {
             assert!(figures.contains(line), "{line} in {figures}");
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use lockpoint::config::{parse_platform, InstanceConfig};
 use lockpoint::core::Sid;
 use lockpoint::counters::Counters;
-use lockpoint::instance::{Bound, Instance};
+use lockpoint::instance::{BoundInstance, Instance};
 pub use lockpoint_lab::bulletin::{host, Break, Bulletin};
 pub use lockpoint_lab::callers::Caller;
 pub use lockpoint_lab::sip::{Does, SipServer};
@@ -55,7 +55,7 @@
 
 impl Controller {
     pub async fn start(config: InstanceConfig) -> Controller {
-        let bound = Bound::open(config).await.expect("free ports");
+        let bound = BoundInstance::open(config).await.expect("free ports");
         let stop = Rc::new(Notify::new());
         let (at, iax2_at, instance) = (bound.listens_at(), bound.iax2_at(), bound.handle());
         let console_at = bound.console_at();
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use lockpoint::takeover::{self, Kind, TakeoverError, Way};
+use lockpoint::takeover::{self, Kind, TakeoverChannel, TakeoverError};
 use rstest::rstest;
 use serde_json::json;
 use support::{
@@ -51,7 +51,7 @@
     }
 
     fn socket(&self) -> PathBuf {
-        takeover::place(&self.dir, "n1")
+        takeover::socket_path(&self.dir, "n1")
     }
 
     /// A console address of this process's own, on a port that the system picks.
@@ -317,7 +317,7 @@
         let _stays;
         match says {
             None => {
-                let mut way = Way::to_predecessor(&place.socket()).expect("it waits there");
+                let mut way = TakeoverChannel::to_predecessor(&place.socket()).expect("it waits there");
                 let (state, sockets) = way.ask().expect("it hands over");
                 assert!(!state.is_empty() && sockets.len() >= 3, "doors and connections");
             }
@@ -437,7 +437,7 @@
 fn the_last_word_decides_whose_it_is() {
     let pair = || {
         let (a, b) = std::os::unix::net::UnixStream::pair().expect("a pair");
-        (Way::to_successor(a).expect("a way"), Way::to_successor(b).expect("a way"))
+        (TakeoverChannel::to_successor(a).expect("a way"), TakeoverChannel::to_successor(b).expect("a way"))
     };
     let (mut old, mut new) = pair();
     old.say(Kind::Yours, b"").expect("said");
