--- a/src/console.rs
+++ b/src/console.rs
@@ -1,4 +1,4 @@
-//! The operators' door: a TCP connection carries one line, and is answered and ended.
+//! The operators' console: a TCP connection carries one command line, gets its reply and is closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -15,55 +15,56 @@
 
 use crate::net::conn::part_unheard;
 
-/// The longest line that is read.
-const LONGEST: usize = 128;
-/// Who has said no whole line by then hears so and is let go.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Who does not read its answer within this loses it.
-const READ_WITHIN: Duration = Duration::from_secs(1);
+/// The longest command line.
+const MAX_LINE_BYTES: usize = 128;
+/// A connection without a whole command line after this time gets an error and is closed.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for a client to read its reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The tool waits so long for an answer, and reads so much of it.
-const ASKS_FOR: Duration = Duration::from_secs(3);
-const MOST_ANSWERED: u64 = 1 << 20;
+/// Time that the command-line tool waits for a reply.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// The longest reply that the command-line tool reads.
+const MAX_REPLY_BYTES: u64 = 1 << 20;
 
-/// What may be called.
+/// A command on the console.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConsoleCommand {
-    /// Can this process serve?
+    /// Whether this process can serve.
     Ping,
-    /// The figures.
+    /// The metrics.
     Info,
-    /// Empty the controller.
+    /// Drain the controller.
     Lameduck,
-    /// Back to work.
+    /// Resume normal work.
     Rejoin,
 }
 
-/// A line that is no call.
+/// Why a line is not a command.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// It names nothing that is known here.
-    #[error("unknown call '{0}'; known are PING, INFO, LAMEDUCK and REJOIN")]
+    /// No such command.
+    #[error("unknown command '{0}'; commands are PING, INFO, LAMEDUCK and REJOIN")]
     Unknown(String),
-    /// It is longer than any call.
-    #[error("a line of more than {LONGEST} bytes")]
+    /// The line is longer than any command.
+    #[error("line longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// The caller ended it half-way, or took too long over it.
-    #[error("the line has no end")]
-    NoEnd,
+    /// The connection ended or timed out before the end of the line.
+    #[error("incomplete line")]
+    Incomplete,
 }
 
-/// An answer to a call.
+/// The reply to a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConsoleReply {
-    /// It is so, or it is done: a few words, and lines that end with `EOT` where some were asked for.
+    /// Success, with a short text. A reply of several lines ends with `EOT`.
     Success(&'static str, Option<String>),
-    /// It is not, and why.
+    /// Failure, with the reason.
     Failure(String),
 }
 
 impl ConsoleCommand {
-    /// Reads a line, without its end.
+    /// Parses a line without its line end.
     pub fn parse(line: &[u8]) -> Result<ConsoleCommand, CommandError> {
         let text = String::from_utf8_lossy(line);
         match text.trim() {
@@ -74,8 +75,8 @@
             other => Err(CommandError::Unknown(other.chars().filter(|c| !c.is_control()).take(32).collect())),
         }
     }
-    /// The call as it is written.
-    pub fn word(self) -> &'static str {
+    /// The command as it is written on the console.
+    pub fn name(self) -> &'static str {
         match self {
             ConsoleCommand::Ping => "PING",
             ConsoleCommand::Info => "INFO",
@@ -88,107 +89,110 @@
 impl std::fmt::Display for ConsoleReply {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            ConsoleReply::Success(what, None) => writeln!(f, "SUCCESS {what}"),
-            ConsoleReply::Success(what, Some(lines)) => write!(f, "SUCCESS {what}\n{lines}EOT\n"),
+            ConsoleReply::Success(text, None) => writeln!(f, "SUCCESS {text}"),
+            ConsoleReply::Success(text, Some(lines)) => write!(f, "SUCCESS {text}\n{lines}EOT\n"),
             ConsoleReply::Failure(why) => writeln!(f, "FAILURE {why}"),
         }
     }
 }
 
-/// Calls the console at this address, as the tool does: its answer as it came.
-pub async fn send_command(address: SocketAddr, call: ConsoleCommand) -> io::Result<String> {
-    let talk = async {
+/// Sends a command to the console at this address, as the command-line tool does. Returns the unparsed reply.
+pub async fn send_command(address: SocketAddr, command: ConsoleCommand) -> io::Result<String> {
+    let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
-        stream.write_all(format!("{}\n", call.word()).as_bytes()).await?;
+        stream.write_all(format!("{}\n", command.name()).as_bytes()).await?;
         let mut text = String::new();
-        stream.take(MOST_ANSWERED).read_to_string(&mut text).await?;
+        stream.take(MAX_REPLY_BYTES).read_to_string(&mut text).await?;
         Ok(text)
     };
-    timeout(ASKS_FOR, talk).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(CLIENT_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Those who have said no whole line yet, oldest first. Guards against silent and half-said calls that hold all
-/// descriptors that are set aside, and keep a real one from its answer.
+/// Connections that have not sent a whole line yet, oldest first. Guards against silent and half-sent commands that
+/// use up the console's descriptors and keep a real command from its reply.
 #[derive(Debug, Default)]
 struct Waiting {
     all: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    held: Cell<usize>,
+    open: Cell<usize>,
     next: Cell<u64>,
-    free: Notify,
+    closed: Notify,
 }
 
 impl Waiting {
-    fn come(self: &Rc<Self>) -> Held {
-        let (no, go) = (self.next.get(), Rc::new(Notify::new()));
+    fn add(self: &Rc<Self>) -> WaitingConnection {
+        let (no, evicted) = (self.next.get(), Rc::new(Notify::new()));
         self.next.set(no + 1);
-        self.held.set(self.held.get() + 1);
-        self.all.borrow_mut().insert(no, go.clone());
-        Held { waiting: self.clone(), no, go }
+        self.open.set(self.open.get() + 1);
+        self.all.borrow_mut().insert(no, evicted.clone());
+        WaitingConnection { waiting: self.clone(), no, evicted }
     }
-    /// Sends the oldest away.
-    fn make_room(&self) {
-        if let Some((_, go)) = self.all.borrow_mut().pop_first() {
-            go.notify_one();
+    /// Closes the oldest waiting connection.
+    fn evict_oldest(&self) {
+        if let Some((_, evicted)) = self.all.borrow_mut().pop_first() {
+            evicted.notify_one();
         }
     }
 }
 
-/// One connection's place; given back when dropped.
-struct Held {
+/// One connection's place among those allowed; freed when dropped.
+struct WaitingConnection {
     waiting: Rc<Waiting>,
     no: u64,
-    go: Rc<Notify>,
+    evicted: Rc<Notify>,
 }
 
-impl Held {
-    /// Its line is whole: it need not go any more.
-    fn said(&self) {
+impl WaitingConnection {
+    /// Its line is whole: it is not evicted any more.
+    fn command_received(&self) {
         self.waiting.all.borrow_mut().remove(&self.no);
     }
 }
 
-impl Drop for Held {
+impl Drop for WaitingConnection {
     fn drop(&mut self) {
-        self.said();
-        self.waiting.held.set(self.waiting.held.get() - 1);
-        self.waiting.free.notify_one();
+        self.command_received();
+        self.waiting.open.set(self.waiting.open.get() - 1);
+        self.waiting.closed.notify_one();
     }
 }
 
-/// Answers operators for good, at most `most` at once.
+/// Serves operators, at most `max_connections` at once; never returns.
 pub async fn serve(
     listener: Rc<TcpListener>,
-    most: usize,
-    answer: impl Fn(ConsoleCommand) -> ConsoleReply + Clone + 'static,
+    max_connections: usize,
+    execute: impl Fn(ConsoleCommand) -> ConsoleReply + Clone + 'static,
 ) {
     let waiting = Rc::new(Waiting::default());
     loop {
-        while waiting.held.get() >= most {
-            waiting.make_room();
-            waiting.free.notified().await;
+        while waiting.open.get() >= max_connections {
+            waiting.evict_oldest();
+            waiting.closed.notified().await;
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (held, answer) = (waiting.come(), answer.clone());
+                let (connection, execute) = (waiting.add(), execute.clone());
                 spawn_local(async move {
                     let line = tokio::select! {
-                        line = hear(&stream) => line,
-                        _ = held.go.notified() => {
-                            let _ = stream.try_write(b"FAILURE no line came, and others wait\n");
+                        line = read_line(&stream) => line,
+                        _ = connection.evicted.notified() => {
+                            let _ = stream.try_write(b"FAILURE no command received and others are waiting\n");
                             return;
                         }
                     };
-                    held.said();
-                    let told = match line.and_then(|line| ConsoleCommand::parse(&line)) {
-                        Ok(call) => answer(call),
+                    connection.command_received();
+                    let reply = match line.and_then(|line| ConsoleCommand::parse(&line)) {
+                        Ok(command) => execute(command),
                         Err(error) => ConsoleReply::Failure(error.to_string()),
                     };
-                    if matches!(timeout(READ_WITHIN, tell(&stream, &told.to_string())).await, Ok(Ok(()))) {
-                        // Guards against a reset that destroys the answer where more had come than was read.
+                    if matches!(
+                        timeout(REPLY_TIMEOUT, write_reply(&stream, &reply.to_string())).await,
+                        Ok(Ok(()))
+                    ) {
+                        // Guards against a reset that destroys the reply when the client has sent more than was read.
                         part_unheard(&stream).await;
                     }
                 });
-                // A crowd at this door must not keep callers waiting.
+                // Many console connections must not delay callers.
                 tokio::task::yield_now().await;
             }
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
@@ -196,31 +200,31 @@
     }
 }
 
-async fn hear(stream: &TcpStream) -> Result<Vec<u8>, CommandError> {
-    let (until, mut line) = (Instant::now() + PATIENCE, Vec::new());
+async fn read_line(stream: &TcpStream) -> Result<Vec<u8>, CommandError> {
+    let (until, mut line) = (Instant::now() + COMMAND_TIMEOUT, Vec::new());
     loop {
-        let mut chunk = [0; LONGEST];
+        let mut chunk = [0; MAX_LINE_BYTES];
         match timeout_at(until, stream.readable()).await {
             Ok(Ok(())) => {}
-            Ok(Err(_)) | Err(_) => return Err(CommandError::NoEnd),
+            Ok(Err(_)) | Err(_) => return Err(CommandError::Incomplete),
         }
         match stream.try_read(&mut chunk) {
-            Ok(0) => return Err(CommandError::NoEnd),
+            Ok(0) => return Err(CommandError::Incomplete),
             Ok(n) => line.extend_from_slice(&chunk[..n]),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => continue,
-            Err(_) => return Err(CommandError::NoEnd),
+            Err(_) => return Err(CommandError::Incomplete),
         }
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             line.truncate(end);
-            return if line.len() > LONGEST { Err(CommandError::TooLong) } else { Ok(line) };
+            return if line.len() > MAX_LINE_BYTES { Err(CommandError::TooLong) } else { Ok(line) };
         }
-        if line.len() > LONGEST {
+        if line.len() > MAX_LINE_BYTES {
             return Err(CommandError::TooLong);
         }
     }
 }
 
-async fn tell(stream: &TcpStream, text: &str) -> io::Result<()> {
+async fn write_reply(stream: &TcpStream, text: &str) -> io::Result<()> {
     let mut left = text.as_bytes();
     while !left.is_empty() {
         stream.writable().await?;
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -1,148 +1,156 @@
-//! Sending callers away: working, emptying, working again. No clock and no socket here.
+//! Drain of a controller: LAMEDUCK, REJOIN and the stop of the process. Without clock and sockets of its own.
 
 use serde::{Deserialize, Serialize};
 
 use crate::interface::{Span, Time};
 
-/// After a call to empty, new connections come for so long: the front asks every 100 ms, and sends some for 200 ms more.
-const NEW_ONES_COME: Span = Span::from_millis(350);
-/// From then on set-ups are refused and connections that are owed nothing end. Guards against requests that are still
-/// under way when the controller is to be empty.
-const TAKES: Span = Span::from_millis(1_800);
-/// A connection for the releases of calls that stand is kept for so long; by then calls have mostly come to their end.
-const RELEASES: Span = Span::from_millis(3_600);
-/// The same where the process is to end: the front notices that later, and the process is not to stay for long.
-const NEW_ONES_COME_TO_THE_END: Span = Span::from_millis(650);
-const TAKES_TO_THE_END: Span = Span::from_millis(900);
-/// A process that ends waits so long after that for callers to close what it has closed.
-const PARTS: Span = Span::from_millis(500);
+/// New connections may come for this long after a drain begins: the front end runs a health check every 100 ms and
+/// sends some connections for another 200 ms.
+const CONNECTIONS_ACCEPTED: Span = Span::from_millis(350);
+/// Time from the start of a drain until set-ups are refused. Guards against requests that are still in progress when
+/// the controller is to be empty.
+const SET_UPS_ACCEPTED: Span = Span::from_millis(1_800);
+/// Time for which a connection is kept open for the releases of its established calls; most calls have ended by then.
+const RELEASES_AWAITED: Span = Span::from_millis(3_600);
+/// Time for new connections when the process is to end; longer, as the front end notices a stop later.
+const CONNECTIONS_ACCEPTED_BEFORE_STOP: Span = Span::from_millis(650);
+/// Time until set-ups are refused and connections with established calls are closed when the process is to end;
+/// shorter, as the process must not stay for long.
+const SET_UPS_ACCEPTED_BEFORE_STOP: Span = Span::from_millis(900);
+/// After that, time for callers to close their side of the connections closed here.
+const CLOSE_AWAITED: Span = Span::from_millis(500);
 
-/// Where a controller stands.
+/// Whether a controller works or drains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Phase {
-    /// It takes what comes.
+    /// It accepts connections and set-ups.
     #[default]
     Working,
-    /// It sends callers away.
+    /// It drains.
     #[serde(rename = "Emptying")]
     Draining {
-        /// Since when.
+        /// Start of the drain.
         since: Time,
-        /// Whether the process ends then.
+        /// Whether the process ends after the drain.
         #[serde(rename = "ends")]
         stopping: bool,
     },
 }
 
-/// What is to become of a caller's connection that is owed nothing.
+/// What to do with a caller's connection that waits for no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
-    /// It stays for as long as it would at work.
-    Stays,
-    /// It is to be looked at again then.
-    Again(Time),
-    /// It ends now.
-    Ends,
+pub enum ConnectionReview {
+    /// Keep it by the rules of normal work.
+    Keep,
+    /// Review it again at this time.
+    ReviewAt(Time),
+    /// Close it now.
+    Close,
 }
 
-/// What is still held, the weightiest first.
+/// The most important work that is left, in order of importance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Held {
-    /// Calls that are owed an answer; each gets one by the time its caller said.
+pub enum Outstanding {
+    /// Set-ups without an answer; each gets one within its caller's time limit.
     Calls,
-    /// Answers not read by those they are for.
+    /// Answers that their callers have not read yet.
     Answers,
-    /// Connections of callers who are owed nothing.
+    /// Callers' connections that wait for no answer.
     Connections,
     /// Nothing.
     Nothing,
 }
 
-/// The one machine for `LAMEDUCK`, `REJOIN` and SIGTERM.
+/// State machine for `LAMEDUCK`, `REJOIN` and SIGTERM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Drain(Phase);
 
-/// It cannot be brought back: the process is told to end.
+/// `REJOIN` is refused: the process was asked to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("this process is about to end")]
-pub struct AboutToEnd;
+#[error("this process is stopping")]
+pub struct ProcessEnding;
 
 impl Drain {
-    /// Where it stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.0
     }
-    /// `LAMEDUCK`. One more changes nothing: the times count from the first.
+    /// `LAMEDUCK`. A repetition changes nothing: the times count from the first.
     pub fn lameduck(&mut self, now: Time) {
         if self.0 == Phase::Working {
             self.0 = Phase::Draining { since: now, stopping: false };
         }
     }
-    /// `REJOIN`, also where it never left.
-    pub fn rejoin(&mut self) -> Result<(), AboutToEnd> {
+    /// `REJOIN`, also without a drain before it.
+    pub fn rejoin(&mut self) -> Result<(), ProcessEnding> {
         if let Phase::Draining { stopping: true, .. } = self.0 {
-            return Err(AboutToEnd);
+            return Err(ProcessEnding);
         }
         self.0 = Phase::Working;
         Ok(())
     }
-    /// SIGTERM: empties, and the process ends. Counts anew where callers were being sent away already.
-    pub fn end(&mut self, now: Time) {
+    /// SIGTERM: drains and ends the process. During a drain by `LAMEDUCK` the times count anew.
+    pub fn begin_stop(&mut self, now: Time) {
         if !matches!(self.0, Phase::Draining { stopping: true, .. }) {
             self.0 = Phase::Draining { since: now, stopping: true };
         }
     }
-    /// Whether tests pass.
-    pub fn works(&self) -> bool {
+    /// Whether health checks pass.
+    pub fn is_working(&self) -> bool {
         self.0 == Phase::Working
     }
-    /// From when on set-ups are refused.
-    pub fn refuses_from(&self) -> Option<Time> {
+    /// Time from which on set-ups are refused.
+    pub fn refuses_set_ups_from(&self) -> Option<Time> {
         match self.0 {
             Phase::Working => None,
             Phase::Draining { since, stopping } => {
-                Some(since.plus(if stopping { TAKES_TO_THE_END } else { TAKES }))
+                Some(since.plus(if stopping { SET_UPS_ACCEPTED_BEFORE_STOP } else { SET_UPS_ACCEPTED }))
             }
         }
     }
-    /// Until when new connections come.
-    pub fn new_ones_until(&self) -> Option<Time> {
+    /// Time until which new connections may come.
+    pub fn accepts_connections_until(&self) -> Option<Time> {
         match self.0 {
             Phase::Working => None,
-            Phase::Draining { since, stopping } => {
-                Some(since.plus(if stopping { NEW_ONES_COME_TO_THE_END } else { NEW_ONES_COME }))
-            }
+            Phase::Draining { since, stopping } => Some(since.plus(if stopping {
+                CONNECTIONS_ACCEPTED_BEFORE_STOP
+            } else {
+                CONNECTIONS_ACCEPTED
+            })),
         }
     }
-    /// Looks at a connection that is owed nothing: when it came, and whether a call that stands was asked for on it.
-    pub fn look(&self, came: Time, carries: bool, now: Time) -> Door {
-        let (Some(new_ones), Some(refuses)) = (self.new_ones_until(), self.refuses_from()) else {
-            return Door::Stays;
+    /// Reviews a connection that waits for no answer. `connected_at`: when it was accepted; `has_calls`: calls that
+    /// were set up on it are still established.
+    pub fn review_connection(&self, connected_at: Time, has_calls: bool, now: Time) -> ConnectionReview {
+        let (Some(accepts_until), Some(refuses_from)) =
+            (self.accepts_connections_until(), self.refuses_set_ups_from())
+        else {
+            return ConnectionReview::Keep;
         };
-        // One that has just come is given time to say what it came for.
-        let first = new_ones.max(came.plus(NEW_ONES_COME));
+        // A new connection is given time to send its set-up.
+        let first = accepts_until.max(connected_at.plus(CONNECTIONS_ACCEPTED));
         let last = match self.0 {
-            Phase::Draining { since, stopping: false } => since.plus(RELEASES),
-            _ => refuses,
+            Phase::Draining { since, stopping: false } => since.plus(RELEASES_AWAITED),
+            _ => refuses_from,
         };
-        let until = if carries { last.max(first) } else { first };
+        let until = if has_calls { last.max(first) } else { first };
         if until > now {
-            Door::Again(until)
+            ConnectionReview::ReviewAt(until)
         } else {
-            Door::Ends
+            ConnectionReview::Close
         }
     }
-    /// Whether the process may leave: it was told to, nothing more is taken, and nobody is owed an answer. `held` tells
-    /// what else is there. `longest`: what any caller waits; who reads no answers keeps no process from its end.
-    pub fn may_leave(&self, held: Held, longest: Span, now: Time) -> bool {
+    /// Whether the process may end: it was asked to stop, set-ups are refused, and no set-up waits for its answer.
+    /// Callers who read no answers delay the end by `max_caller_wait` at most, the longest time any caller waits.
+    pub fn may_exit(&self, outstanding: Outstanding, max_caller_wait: Span, now: Time) -> bool {
         let Phase::Draining { stopping: true, .. } = self.0 else { return false };
-        let Some(refuses) = self.refuses_from() else { return false };
-        now >= refuses
-            && match held {
-                Held::Calls => false,
-                Held::Answers => now >= refuses.plus(longest),
-                Held::Connections => now >= refuses.plus(PARTS),
-                Held::Nothing => true,
+        let Some(refuses_from) = self.refuses_set_ups_from() else { return false };
+        now >= refuses_from
+            && match outstanding {
+                Outstanding::Calls => false,
+                Outstanding::Answers => now >= refuses_from.plus(max_caller_wait),
+                Outstanding::Connections => now >= refuses_from.plus(CLOSE_AWAITED),
+                Outstanding::Nothing => true,
             }
     }
 }
@@ -155,73 +163,81 @@
         Time(1_000_000 + ms * 1_000)
     }
 
-    /// Guards against connections that are held for longer than operators allow, and against closing those early on
-    /// which the front still sends.
+    /// Guards against connections kept longer than operators allow, and against closing early those on which the
+    /// front end still sends.
     #[test]
-    fn a_connection_that_is_owed_nothing_ends_once_new_ones_have_stopped_coming() {
+    fn an_idle_connection_ends_once_no_new_connections_are_accepted() {
         let mut drain = Drain::default();
-        assert_eq!(drain.look(at(0), false, at(99_000)), Door::Stays);
+        assert_eq!(drain.review_connection(at(0), false, at(99_000)), ConnectionReview::Keep);
         drain.lameduck(at(1_000));
-        assert!(!drain.works());
+        assert!(!drain.is_working());
         let table = [
-            // came, carries, now, what becomes of it
-            (0, false, 1_000, Door::Again(at(1_350))),
-            (0, false, 1_349, Door::Again(at(1_350))),
-            (0, false, 1_350, Door::Ends),
-            (0, true, 1_350, Door::Again(at(4_600))),
-            (0, true, 4_600, Door::Ends),
-            (1_200, false, 1_350, Door::Again(at(1_550))),
-            (1_200, false, 1_550, Door::Ends),
-            (4_500, true, 4_500, Door::Again(at(4_850))),
-            (4_500, true, 4_850, Door::Ends),
+            // connected_at, has_calls, now, review
+            (0, false, 1_000, ConnectionReview::ReviewAt(at(1_350))),
+            (0, false, 1_349, ConnectionReview::ReviewAt(at(1_350))),
+            (0, false, 1_350, ConnectionReview::Close),
+            (0, true, 1_350, ConnectionReview::ReviewAt(at(4_600))),
+            (0, true, 4_600, ConnectionReview::Close),
+            (1_200, false, 1_350, ConnectionReview::ReviewAt(at(1_550))),
+            (1_200, false, 1_550, ConnectionReview::Close),
+            (4_500, true, 4_500, ConnectionReview::ReviewAt(at(4_850))),
+            (4_500, true, 4_850, ConnectionReview::Close),
         ];
-        for (came, carries, now, door) in table {
-            assert_eq!(drain.look(at(came), carries, at(now)), door, "{came} {carries} {now}");
+        for (connected_at, has_calls, now, review) in table {
+            assert_eq!(
+                drain.review_connection(at(connected_at), has_calls, at(now)),
+                review,
+                "{connected_at} {has_calls} {now}"
+            );
         }
-        assert_eq!(drain.refuses_from(), Some(at(2_800)));
+        assert_eq!(drain.refuses_set_ups_from(), Some(at(2_800)));
     }
 
-    /// Guards against a second call that starts the times anew, and against a drain that cannot be called off.
+    /// Guards against a repeated LAMEDUCK that restarts the times, and against a drain that cannot be revoked.
     #[test]
-    fn both_calls_repeat_and_rejoin_holds_in_the_midst_of_a_drain() {
+    fn lameduck_and_rejoin_may_be_repeated_and_rejoin_works_during_a_drain() {
         let mut drain = Drain::default();
         drain.lameduck(at(0));
         drain.lameduck(at(900));
-        assert_eq!(drain.refuses_from(), Some(at(1_800)));
+        assert_eq!(drain.refuses_set_ups_from(), Some(at(1_800)));
         for _ in 0..2 {
             assert_eq!(drain.rejoin(), Ok(()));
-            assert!(drain.works() && drain.refuses_from().is_none());
+            assert!(drain.is_working() && drain.refuses_set_ups_from().is_none());
         }
         drain.lameduck(at(5_000));
-        assert_eq!(drain.refuses_from(), Some(at(6_800)));
-        assert!(!drain.may_leave(Held::Nothing, Span::default(), at(99_000)), "it was not told to end");
+        assert_eq!(drain.refuses_set_ups_from(), Some(at(6_800)));
+        assert!(
+            !drain.may_exit(Outstanding::Nothing, Span::default(), at(99_000)),
+            "it was not asked to stop"
+        );
     }
 
     #[test]
-    fn a_process_that_is_told_to_end_leaves_once_all_is_answered_and_stays_gone() {
+    fn a_stopping_process_ends_once_all_is_answered_and_refuses_rejoin() {
         let mut drain = Drain::default();
         drain.lameduck(at(0));
-        drain.end(at(1_000));
-        drain.end(at(1_500));
+        drain.begin_stop(at(1_000));
+        drain.begin_stop(at(1_500));
         drain.lameduck(at(1_600));
-        assert_eq!(drain.rejoin(), Err(AboutToEnd));
-        let longest = Span::from_millis(3_000);
+        assert_eq!(drain.rejoin(), Err(ProcessEnding));
+        let max_caller_wait = Span::from_millis(3_000);
         let table = [
-            // what is held, now, leaves
-            (Held::Nothing, 1_899, false),
-            (Held::Nothing, 1_900, true),
-            (Held::Connections, 1_900, false),
-            (Held::Connections, 2_399, false),
-            (Held::Connections, 2_400, true),
-            (Held::Answers, 2_400, false),
-            (Held::Answers, 4_899, false),
-            (Held::Answers, 4_900, true),
-            // Guards against a call whose caller waits a little longer than its class and is left without an answer.
-            (Held::Calls, 4_900, false),
-            (Held::Calls, 99_000, false),
+            // what is outstanding, now, exits
+            (Outstanding::Nothing, 1_899, false),
+            (Outstanding::Nothing, 1_900, true),
+            (Outstanding::Connections, 1_900, false),
+            (Outstanding::Connections, 2_399, false),
+            (Outstanding::Connections, 2_400, true),
+            (Outstanding::Answers, 2_400, false),
+            (Outstanding::Answers, 4_899, false),
+            (Outstanding::Answers, 4_900, true),
+            // Guards against a call left without an answer because its caller waits a little longer than its class
+            // does.
+            (Outstanding::Calls, 4_900, false),
+            (Outstanding::Calls, 99_000, false),
         ];
-        for (held, now, leaves) in table {
-            assert_eq!(drain.may_leave(held, longest, at(now)), leaves, "{held:?} {now}");
+        for (outstanding, now, exits) in table {
+            assert_eq!(drain.may_exit(outstanding, max_caller_wait, at(now)), exits, "{outstanding:?} {now}");
         }
     }
 }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -1,4 +1,4 @@
-//! One controller at work: its core, its wires and its sockets on one current-thread runtime.
+//! A running controller: its core, its protocol adapters and its sockets, on one current-thread runtime.
 
 mod callers;
 mod counters;
@@ -44,63 +44,63 @@
 use crate::upstream::sip::Trunks;
 use crate::upstream::Todo;
 use counters::LocalCounters;
-use directories::Followed;
+use directories::DirectoryConfig;
 pub use handover::Predecessor;
-use handover::{Doors, Side, Unfinished};
+use handover::{Listeners, PendingConnections, Side};
 use persistence::RecordWriter;
 pub use persistence::StoreConfig;
 use replication::Replication;
 pub use startup::{BoundInstance, StartError};
 
-/// How often the end of the last calls is looked for while stopping.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// How often a stopping controller checks whether its last calls have ended.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Unix time that never steps back.
 #[derive(Debug, Clone, Copy)]
 struct Clock {
-    base: u64,
+    base_us: u64,
     started: Instant,
 }
 
 impl Clock {
-    /// One that is not behind `least`, which another process of this machine has seen.
-    fn from(least: Time) -> Self {
-        let base = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros());
-        Self { base: u64::try_from(base).unwrap_or(u64::MAX).max(least.0), started: Instant::now() }
+    /// A clock that starts no earlier than `least`, the last time that a predecessor on this machine has read.
+    fn not_before(least: Time) -> Self {
+        let base_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros());
+        Self { base_us: u64::try_from(base_us).unwrap_or(u64::MAX).max(least.0), started: Instant::now() }
     }
     fn now(&self) -> Time {
         let passed = u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX);
-        Time(self.base.saturating_add(passed))
+        Time(self.base_us.saturating_add(passed))
     }
     fn until(&self, at: Time) -> tokio::time::Instant {
-        let after = Duration::from_micros(at.0.saturating_sub(self.base));
+        let after = Duration::from_micros(at.0.saturating_sub(self.base_us));
         tokio::time::Instant::from_std(self.started + after)
     }
 }
 
-/// Everything that is not a socket.
+/// Mutable state of a controller, borrowed for the length of one event loop iteration.
 struct State {
     core: Core,
-    guests: Guests,
+    client_connections: Guests,
     next_client: u64,
     sip: Trunks,
-    callers: Callers,
-    servers: Servers,
-    callers_socket: Option<Rc<UdpSocket>>,
-    servers_socket: Option<Rc<UdpSocket>>,
+    iax2_front: Callers,
+    iax2_servers: Servers,
+    iax2_front_socket: Option<Rc<UdpSocket>>,
+    iax2_server_socket: Option<Rc<UdpSocket>>,
     peer_socket: Option<Rc<UdpSocket>>,
     peers: Peers,
-    tally: LocalCounters,
+    counters: LocalCounters,
     drain: Drain,
-    /// Who writes down what a life after this one needs; `None`: nobody.
-    keeper: Option<RecordWriter>,
-    /// The sockets of connections that stand.
-    lines: BTreeMap<(Side, u64), Rc<Line>>,
+    /// Writes the records from which a later process recovers; `None`: no store is configured.
+    record_writer: Option<RecordWriter>,
+    /// The sockets of open TCP connections, by remote side and number.
+    connections: BTreeMap<(Side, u64), Rc<Line>>,
 }
 
-/// What a controller is bound to until it ends.
+/// Configuration that only a restart can change.
 #[derive(Debug)]
-struct BoundTo {
+struct FixedConfig {
     name: String,
     listen: Option<SocketAddr>,
     console: Option<SocketAddr>,
@@ -111,36 +111,36 @@
 }
 
 struct Shared {
-    bound_to: BoundTo,
-    /// The directories to follow; a reload names others.
-    followed: watch::Sender<Followed>,
-    /// Where it stands in the bulletin's events.
-    heard: RefCell<Cursor>,
+    fixed_config: FixedConfig,
+    /// The directories to follow; a reload may change them.
+    directories: watch::Sender<DirectoryConfig>,
+    /// Position in the bulletin's events.
+    bulletin_cursor: RefCell<Cursor>,
     clock: Clock,
     state: RefCell<State>,
-    /// The earliest deadline has changed.
+    /// Notified when the earliest deadline has changed.
     rearm: Notify,
-    /// A successor that starts anew asks this process to end.
-    leave: Notify,
+    /// Notified when a successor that starts without this process's state asks it to stop.
+    stop_requested: Notify,
     panics: Cell<u64>,
-    /// What fails around it.
+    /// Call servers and directories that fail at present.
     outages: RefCell<Outages<outage_log::Party>>,
-    /// Its tasks are about to be dropped: none may be added.
-    ended: Cell<bool>,
-    /// Callers' connections that are ended and wait for the other side.
-    parting: Cell<usize>,
+    /// The controller's tasks are about to be dropped: no more may be spawned.
+    stopped: Cell<bool>,
+    /// Callers' connections that are closed here and wait for the caller to close.
+    closing_connections: Cell<usize>,
     limits: Cell<Limits>,
     pool: Pool,
-    /// What may wait to be written to all callers.
+    /// Bytes that may wait to be written to all callers.
     caller_bytes: Budget,
-    /// What may wait to be written to all call servers.
+    /// Bytes that may wait to be written to all call servers.
     server_bytes: Budget,
     connect_timeout: Cell<Duration>,
     /// Replicated configuration and membership; `None`: off.
     replication: Option<Replication>,
 }
 
-/// A handle on a controller that runs.
+/// A handle on a running controller.
 #[derive(Clone)]
 pub struct Instance(Rc<Shared>);
 
@@ -148,38 +148,39 @@
     async fn serve(
         self,
         config: InstanceConfig,
-        doors: Doors,
-        left: Unfinished,
+        listeners: Listeners,
+        pending: PendingConnections,
         stop: impl std::future::Future<Output = ()>,
     ) {
-        self.finish(left);
+        self.resume_connections(pending);
         self.recover();
-        let _ = self.page(config.known.clone()); // what of it cannot be read, the bulletin is asked for
-        self.turn(|state, todo| state.register(&config, self.0.clock.now(), todo));
-        let timer = spawn_local(self.clone().keep_time());
-        let listener = doors.listener.borrow().clone();
+        // Unreadable events are requested from the bulletin later.
+        let _ = self.take_bulletin_page(config.known.clone());
+        self.apply(|state, todo| state.register(&config, self.0.clock.now(), todo));
+        let timer = spawn_local(self.clone().run_timer());
+        let listener = listeners.callers.borrow().clone();
         let acceptor = listener.map(|listener| spawn_local(self.clone().accept(listener)));
-        if let Some(console) = doors.console.clone() {
-            spawn_local(self.clone().hear_operators(console, config.limits.operators()));
+        if let Some(console) = listeners.console.clone() {
+            spawn_local(self.clone().serve_console(console, config.limits.operators()));
         }
-        spawn_local(self.clone().follow(self.0.followed.subscribe()));
+        spawn_local(self.clone().follow(self.0.directories.subscribe()));
         let (callers, servers) = {
             let state = self.0.state.borrow();
-            (state.callers_socket.clone(), state.servers_socket.clone())
+            (state.iax2_front_socket.clone(), state.iax2_server_socket.clone())
         };
         if let Some(socket) = callers {
-            spawn_local(self.clone().hear_iax2(socket, |state, from, bytes, now, todo| {
-                state.callers.datagram(from, bytes, now, todo);
+            spawn_local(self.clone().receive_iax2(socket, |state, from, bytes, now, todo| {
+                state.iax2_front.datagram(from, bytes, now, todo);
             }));
         }
         if let Some(socket) = servers {
-            spawn_local(self.clone().hear_iax2(socket, |state, from, bytes, now, todo| {
-                state.servers.datagram(from, bytes, now, todo);
+            spawn_local(self.clone().receive_iax2(socket, |state, from, bytes, now, todo| {
+                state.iax2_servers.datagram(from, bytes, now, todo);
             }));
         }
         let peer_socket = self.0.state.borrow().peer_socket.clone();
         if let Some(socket) = peer_socket {
-            spawn_local(self.clone().hear_peers(socket));
+            spawn_local(self.clone().receive_peer_messages(socket));
         }
         if self.0.replication.is_some() {
             spawn_local(self.clone().replicate());
@@ -187,53 +188,53 @@
         let stopped = async {
             tokio::select! {
                 _ = stop => {}
-                _ = self.0.leave.notified() => {}
+                _ = self.0.stop_requested.notified() => {}
             }
             self.begin_stop();
-            let new_ones_until = self.0.state.borrow().drain.new_ones_until();
-            tokio::time::sleep_until(self.0.clock.until(new_ones_until.unwrap_or_default())).await;
-            self.close_door(&doors, acceptor, config.inherited.is_some()).await;
-            while !self.may_leave() {
-                tokio::time::sleep(LOOK_EVERY).await;
+            let accepts_until = self.0.state.borrow().drain.accepts_connections_until();
+            tokio::time::sleep_until(self.0.clock.until(accepts_until.unwrap_or_default())).await;
+            self.close_listener(&listeners, acceptor, config.inherited.is_some()).await;
+            while !self.may_exit() {
+                tokio::time::sleep(STOP_CHECK_INTERVAL).await;
             }
         };
         tokio::select! {
             _ = stopped => {}
-            _ = self.hand_over(&doors) => {}
+            _ = self.hand_over(&listeners) => {}
         }
         timer.abort();
-        self.leave_replication();
-        // Whoever still holds a handle must not hold the sockets: another process may want the addresses.
-        self.0.ended.set(true);
+        self.stop_replication();
+        // A remaining handle must not keep the sockets open: another process may need their addresses.
+        self.0.stopped.set(true);
         let mut state = self.0.state.borrow_mut();
-        (state.callers_socket, state.servers_socket, state.peer_socket) = (None, None, None);
-        state.keeper = None;
+        (state.iax2_front_socket, state.iax2_server_socket, state.peer_socket) = (None, None, None);
+        state.record_writer = None;
     }
 
-    /// Its name.
+    /// The controller's name.
     pub fn name(&self) -> &str {
-        &self.0.bound_to.name
+        &self.0.fixed_config.name
     }
 
-    /// Whether a list of call servers is held.
+    /// Whether a list of call servers has been received.
     pub fn ready(&self) -> bool {
         self.0.state.borrow().core.ready()
     }
 
-    /// The counts so far.
+    /// The counters so far.
     pub fn counters(&self) -> Counters {
         let state = self.0.state.borrow();
-        let (core, sip, tally) = (state.core.counts(), state.sip.counts, &state.tally);
+        let (core, sip, counters) = (state.core.counts(), state.sip.counts, &state.counters);
         let gauges = self.gauges(&state);
         Counters {
-            name: self.0.bound_to.name.clone(),
+            name: self.0.fixed_config.name.clone(),
             open: state.core.pending_calls(),
             standing: state.core.established_calls(),
             pending: gauges.pending,
             members: gauges.members,
             members_unavailable: gauges.members_unavailable,
             upstream_requests: gauges.upstream_requests,
-            clients: state.guests.len(),
+            clients: state.client_connections.len(),
             taken: core.taken,
             duplicates: core.duplicates,
             completed: core.answered,
@@ -254,33 +255,33 @@
             moved: sip.moved,
             spoilt: sip.spoilt,
             stale: sip.stale,
-            malformed_lines: tally.lines,
-            malformed_sip: sip.malformed + tally.sip,
-            malformed_bulletin: tally.bulletin,
-            bulletin_failures: tally.bulletin_failures,
-            dns_failures: tally.dns_failures,
-            iax2_callers: state.callers.live(),
-            iax2_calls_in: state.callers.counts.news,
-            iax2_calls_out: state.servers.counts.news,
-            iax2_withdrawn: state.servers.counts.withdrawn,
-            iax2_received: state.callers.counts.received + state.servers.counts.received,
-            iax2_malformed: state.callers.counts.malformed + state.servers.counts.malformed,
-            iax2_registered_at: state.callers.registered_at(self.0.clock.now()),
-            iax2_not_let_in: state.callers.counts.not_let_in,
-            iax2_tokens_asked: state.callers.counts.tokens_asked,
-            iax2_tokens_refused: state.callers.counts.tokens_refused,
-            mail: tally.mail,
-            lost_connections: tally.lost,
-            turned_away: tally.turned_away + state.callers.counts.turned_away,
-            expired: tally.expired,
+            malformed_lines: counters.malformed_lines,
+            malformed_sip: sip.malformed + counters.malformed_sip,
+            malformed_bulletin: counters.malformed_bulletin,
+            bulletin_failures: counters.bulletin_failures,
+            dns_failures: counters.dns_failures,
+            iax2_callers: state.iax2_front.live(),
+            iax2_calls_in: state.iax2_front.counts.news,
+            iax2_calls_out: state.iax2_servers.counts.news,
+            iax2_withdrawn: state.iax2_servers.counts.withdrawn,
+            iax2_received: state.iax2_front.counts.received + state.iax2_servers.counts.received,
+            iax2_malformed: state.iax2_front.counts.malformed + state.iax2_servers.counts.malformed,
+            iax2_registered_at: state.iax2_front.registered_at(self.0.clock.now()),
+            iax2_not_let_in: state.iax2_front.counts.not_let_in,
+            iax2_tokens_asked: state.iax2_front.counts.tokens_asked,
+            iax2_tokens_refused: state.iax2_front.counts.tokens_refused,
+            mail: counters.peer_messages,
+            lost_connections: counters.lost_connections,
+            turned_away: counters.turned_away + state.iax2_front.counts.turned_away,
+            expired: counters.expired,
             unusable: core.unusable,
-            reloads: tally.reloads,
-            reload_failures: tally.reload_failures,
+            reloads: counters.reloads,
+            reload_failures: counters.reload_failures,
             panics: self.0.panics.get(),
         }
     }
 
-    /// The call servers as listed.
+    /// The call servers in the current list.
     pub fn servers(&self) -> Vec<DirectoryEntry> {
         self.0.state.borrow().core.listed_servers().cloned().collect()
     }
@@ -288,32 +289,33 @@
     // ---- Inputs and effects ------------------------------------------------------------------
 
     fn input(&self, input: Input) {
-        self.turn(|_, todo| todo.inputs.push(input));
+        self.apply(|_, todo| todo.inputs.push(input));
     }
 
-    /// Does something with the wires and carries out what follows, until nothing more follows.
-    fn turn(&self, work: impl FnOnce(&mut State, &mut Todo)) {
+    /// One event loop iteration: runs `work`, then processes the inputs and effects that follow from it until there
+    /// are no more.
+    fn apply(&self, work: impl FnOnce(&mut State, &mut Todo)) {
         let mut todo = Todo::default();
         let mut state = self.0.state.borrow_mut();
         let before = state.core.deadlines.next_at();
         let now = self.0.clock.now();
         work(&mut state, &mut todo);
-        state.settle(now, &mut todo);
+        state.process_inputs(now, &mut todo);
         if !todo.links.is_empty() {
-            state.yield_to_links(self.0.limits.get(), self.0.parting.get());
+            state.make_room_for_links(self.0.limits.get(), self.0.closing_connections.get());
         }
         let after = state.core.deadlines.next_at();
         drop(state);
         if after != before {
             self.0.rearm.notify_one();
         }
-        for (link, dial) in todo.links.into_iter().filter(|_| !self.0.ended.get()) {
+        for (link, dial) in todo.links.into_iter().filter(|_| !self.0.stopped.get()) {
             spawn_local(self.clone().link(link, dial));
         }
     }
 
-    /// Sweeps the deadlines when the earliest falls due.
-    async fn keep_time(self) {
+    /// Expires deadlines when the earliest is due.
+    async fn run_timer(self) {
         loop {
             let next = self.0.state.borrow().core.deadlines.next_at();
             match next {
@@ -323,50 +325,50 @@
                         _ = tokio::time::sleep_until(self.0.clock.until(at)) => {}
                     }
                     let now = self.0.clock.now();
-                    self.guarded(|state, todo| state.sweep(now, todo));
+                    self.apply_guarded(|state, todo| state.expire_deadlines(now, todo));
                 }
                 None => self.0.rearm.notified().await,
             }
         }
     }
 
-    /// The same for a task that serves many: a panic costs what caused it alone, and is counted.
-    fn guarded(&self, work: impl FnOnce(&mut State, &mut Todo)) {
-        let turn = std::panic::AssertUnwindSafe(|| self.turn(work));
-        if std::panic::catch_unwind(turn).is_err() {
+    /// Like `apply`, for tasks that serve many connections: a panic is counted and does not end the task.
+    fn apply_guarded(&self, work: impl FnOnce(&mut State, &mut Todo)) {
+        let iteration = std::panic::AssertUnwindSafe(|| self.apply(work));
+        if std::panic::catch_unwind(iteration).is_err() {
             self.0.panics.set(self.0.panics.get() + 1);
         }
     }
 
     // ---- Sockets -----------------------------------------------------------------------------
 
-    async fn hear_iax2(
+    async fn receive_iax2(
         self,
         socket: Rc<UdpSocket>,
-        take: impl Fn(&mut State, SocketAddr, &[u8], Time, &mut Todo),
+        handle: impl Fn(&mut State, SocketAddr, &[u8], Time, &mut Todo),
     ) {
         let mut bytes = vec![0; LONGEST_FRAME + 1];
         loop {
             match socket.recv_from(&mut bytes).await {
                 Ok((n, from)) => {
                     let now = self.0.clock.now();
-                    self.guarded(|state, todo| take(state, from, &bytes[..n], now, todo));
+                    self.apply_guarded(|state, todo| handle(state, from, &bytes[..n], now, todo));
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
             }
         }
     }
 
-    async fn hear_peers(self, socket: Rc<UdpSocket>) {
+    async fn receive_peer_messages(self, socket: Rc<UdpSocket>) {
         let mut bytes = [0; LONGEST + 1];
         loop {
             match socket.recv_from(&mut bytes).await {
                 Ok((n, from)) if n <= LONGEST => {
                     let number = self.0.state.borrow().peers.number_of(from);
                     if let Some(number) = number {
-                        self.0.state.borrow_mut().tally.mail += 1;
-                        let mail = Input::PeerMessage(number, bytes[..n].to_vec());
-                        self.guarded(|_, todo| todo.inputs.push(mail));
+                        self.0.state.borrow_mut().counters.peer_messages += 1;
+                        let message = Input::PeerMessage(number, bytes[..n].to_vec());
+                        self.apply_guarded(|_, todo| todo.inputs.push(message));
                     }
                 }
                 Ok(_) => {}
@@ -377,23 +379,23 @@
 }
 
 impl State {
-    fn sweep(&mut self, now: Time, todo: &mut Todo) {
+    fn expire_deadlines(&mut self, now: Time, todo: &mut Todo) {
         let mut effects = Vec::new();
-        let wires = self.core.expire_deadlines(now, &mut effects);
-        for (part, key) in wires {
-            match part {
-                DeadlineOwner::ClientConnections => self.look_at(key, now, todo),
+        let adapter_deadlines = self.core.expire_deadlines(now, &mut effects);
+        for (owner, key) in adapter_deadlines {
+            match owner {
+                DeadlineOwner::ClientConnections => self.review_client(key, now, todo),
                 DeadlineOwner::SipFirstMessage => self.sip.carries(key),
                 DeadlineOwner::SipReconnect => self.sip.due(key, todo),
                 DeadlineOwner::SipSilence => self.sip.watch(key, now, todo),
-                DeadlineOwner::Iax2Front => self.callers.due(key, now, todo),
-                DeadlineOwner::Iax2Upstream => self.servers.due(key, now, todo),
+                DeadlineOwner::Iax2Front => self.iax2_front.due(key, now, todo),
+                DeadlineOwner::Iax2Upstream => self.iax2_servers.due(key, now, todo),
             }
         }
-        self.carry_out(effects, now, todo);
+        self.apply_effects(effects, now, todo);
     }
 
-    fn settle(&mut self, now: Time, todo: &mut Todo) {
+    fn process_inputs(&mut self, now: Time, todo: &mut Todo) {
         let mut effects = Vec::new();
         loop {
             let inputs: VecDeque<Input> = std::mem::take(&mut todo.inputs).into();
@@ -403,49 +405,50 @@
             for input in inputs {
                 self.core.handle(now, input, &mut effects);
                 let effects = std::mem::take(&mut effects);
-                self.carry_out(effects, now, todo);
+                self.apply_effects(effects, now, todo);
             }
         }
-        send_all(self.callers_socket.as_deref(), &mut todo.to_callers);
-        send_all(self.servers_socket.as_deref(), &mut todo.to_servers);
-        for (at, part, key) in todo.dues.drain(..) {
-            self.core.deadlines.set(at, crate::core::Deadline::ProtocolAdapter(part, key));
+        send_all(self.iax2_front_socket.as_deref(), &mut todo.to_callers);
+        send_all(self.iax2_server_socket.as_deref(), &mut todo.to_servers);
+        for (at, owner, key) in todo.dues.drain(..) {
+            self.core.deadlines.set(at, crate::core::Deadline::ProtocolAdapter(owner, key));
         }
-        self.keep();
+        self.persist_changes();
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>, now: Time, todo: &mut Todo) {
+    fn apply_effects(&mut self, effects: Vec<Effect>, now: Time, todo: &mut Todo) {
         for effect in effects {
             match effect {
                 Effect::Answer(client, sid, body) => match client.front {
                     FrontKind::JsonLines => {
-                        self.guests.write(client.no, jsonl::ready(sid, &body));
-                        self.settled(client.no, true, now, todo);
+                        self.client_connections.write(client.no, jsonl::ready(sid, &body));
+                        self.answer_settled(client.no, true, now, todo);
                     }
-                    FrontKind::Iax2 => self.callers.ready(client.no, &body, now, todo),
+                    FrontKind::Iax2 => self.iax2_front.ready(client.no, &body, now, todo),
                 },
                 Effect::Refuse { client, sid, retryable, retry_after } => match client.front {
                     FrontKind::JsonLines => {
                         let cause = if retryable { jsonl::CAUSE_REFUSED } else { jsonl::CAUSE_FAILED };
-                        self.guests.write(client.no, jsonl::close(sid, cause, retry_after));
-                        self.settled(client.no, true, now, todo);
+                        self.client_connections.write(client.no, jsonl::close(sid, cause, retry_after));
+                        self.answer_settled(client.no, true, now, todo);
                     }
-                    FrontKind::Iax2 => self.callers.refuse(client.no, retryable, retry_after, now, todo),
+                    FrontKind::Iax2 => self.iax2_front.refuse(client.no, retryable, retry_after, now, todo),
                 },
                 Effect::Release(client, sid, cause) => match client.front {
                     FrontKind::JsonLines => {
-                        self.guests.write(client.no, jsonl::close(sid, cause, Default::default()));
+                        self.client_connections
+                            .write(client.no, jsonl::close(sid, cause, Default::default()));
                     }
-                    FrontKind::Iax2 => self.callers.release(client.no, cause, now, todo),
+                    FrontKind::Iax2 => self.iax2_front.release(client.no, cause, now, todo),
                 },
                 Effect::ConfirmRelease(Client { front: FrontKind::JsonLines, no }, sid) => {
-                    self.guests.write(no, jsonl::closed(sid));
+                    self.client_connections.write(no, jsonl::closed(sid));
                 }
                 Effect::AnswerNoLongerOwed(Client { front: FrontKind::JsonLines, no }) => {
-                    self.settled(no, false, now, todo);
+                    self.answer_settled(no, false, now, todo);
                 }
                 Effect::ProtocolViolation(Client { front: FrontKind::JsonLines, no }) => {
-                    if let Some(at) = self.guests.offends(no, true, now) {
+                    if let Some(at) = self.client_connections.offends(no, true, now) {
                         todo.dues.push((at, DeadlineOwner::ClientConnections, no));
                     }
                 }
@@ -456,35 +459,35 @@
                         self.sip.invite(server, sid, &class, &number, left, &body, now, todo);
                     }
                     Protocol::Iax2 => {
-                        self.servers.invite(server, sid, &class, &number, left, &body, now, todo);
+                        self.iax2_servers.invite(server, sid, &class, &number, left, &body, now, todo);
                     }
                 },
                 Effect::Cancel(server, sid) => {
                     self.sip.cancel(server, sid);
-                    self.servers.hang_up(server, sid, CAUSE_CLEARED, now, todo);
+                    self.iax2_servers.hang_up(server, sid, CAUSE_CLEARED, now, todo);
                 }
                 Effect::Bye(server, sid, cause) => {
                     self.sip.bye(server, sid, cause, now, todo);
-                    self.servers.hang_up(server, sid, cause, now, todo);
+                    self.iax2_servers.hang_up(server, sid, cause, now, todo);
                 }
                 Effect::Connect { server, address, protocol: Protocol::Sip, restarted_at } => {
                     self.sip.reach(server, address, restarted_at, todo);
                 }
                 Effect::Connect { server, address, protocol: Protocol::Iax2, restarted_at } => {
-                    self.servers.reach(server, address, restarted_at, now, todo);
+                    self.iax2_servers.reach(server, address, restarted_at, now, todo);
                 }
                 Effect::CancelQueued(server) => {
                     self.sip.withdraw(server, todo);
-                    self.servers.withdraw(server, now, todo);
+                    self.iax2_servers.withdraw(server, now, todo);
                 }
                 Effect::StopConnecting(server) => self.sip.leave(server),
                 Effect::ServerReplaced(server) => {
                     self.sip.replaced(server, todo);
-                    self.servers.replaced(server, now, todo);
+                    self.iax2_servers.replaced(server, now, todo);
                 }
                 Effect::ForgetServer(server) => {
                     self.sip.forget(server);
-                    self.servers.forget(server);
+                    self.iax2_servers.forget(server);
                 }
                 Effect::RestoreCall { server, sid, number } => self.sip.adopt(server, sid, number, now, todo),
                 Effect::SendToPeers(to, data) => {
@@ -502,7 +505,7 @@
     }
 }
 
-/// Sends datagrams without waiting; what cannot be sent now is sent again by its leg.
+/// Sends datagrams without waiting; one that cannot be sent now is retransmitted by its call leg.
 fn send_all(socket: Option<&UdpSocket>, datagrams: &mut Vec<Outgoing>) {
     for (to, bytes) in datagrams.drain(..) {
         if let Some(socket) = socket {
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -1,4 +1,4 @@
-//! JSON-lines callers at the door: their connections are accepted, read, bounded and ended here.
+//! Connections of JSON-lines callers: accepting, reading, limiting and ending them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 
 use crate::config::Limits;
 use crate::core::{Client, DeadlineOwner, FrontKind, Input};
-use crate::drain::Door;
-use crate::front::jsonl::{self, Line as Said, LineError};
-use crate::instance::handover::{Doors, Side};
+use crate::drain::ConnectionReview;
+use crate::front::jsonl::{self, Line as Message, LineError};
+use crate::instance::handover::{Listeners, Side};
 use crate::instance::{Instance, State};
 use crate::interface::{Span, Time};
 use crate::net::conn::{part, serve, End, Line, Reader, Unreadable};
@@ -19,80 +19,87 @@
 use crate::net::queue::WriteQueue;
 use crate::upstream::Todo;
 
-/// A caller's message must be whole within this from its first byte on.
-const WHOLE_WITHIN: Duration = Duration::from_millis(1_500);
+/// Time for a caller's message, from its first byte to its last.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// So often is looked for the rest of a message before its connection is ended.
-const REST_LOOK: Span = Span::from_millis(50);
+/// How often a connection that is to be closed is checked for the rest of a message that has begun on it.
+const REST_CHECK_INTERVAL: Span = Span::from_millis(50);
 
-/// A door is closed when nobody has come to it for so long, and after so long at the latest.
-const QUIET: Duration = Duration::from_millis(5);
-const CLOSES_WITHIN: Duration = Duration::from_millis(100);
+/// A listener is closed once no connection has come for this long.
+const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(5);
+/// A listener is closed after this at the latest.
+const CLOSE_LISTENER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Connections that are ended in order, and still wait for the other side, at most; any beyond are just closed.
-const MOST_PARTING: usize = 64;
+/// Connections closed in order that may wait at once for the caller to close; further ones are closed at once.
+const MAX_CLOSING_CONNECTIONS: usize = 64;
 
 fn client_of(no: u64) -> Client {
     Client { front: FrontKind::JsonLines, no }
 }
 
 impl State {
-    /// Looks whether a caller's connection has stayed for too long without use.
-    pub(super) fn look_at(&mut self, no: u64, now: Time, todo: &mut Todo) {
-        let carries = self.core.has_established_calls(client_of(no));
-        self.guests.probe(no, || self.core.pending_call_on(client_of(no)).map(jsonl::trying));
-        // Guards against a set-up of which a part is read, and which is too old to be made again when our close crosses its
-        // rest. One that does not become whole ends its connection by itself.
-        let begun = self.lines.get(&(Side::Caller, no)).is_some_and(|line| line.has_begun());
-        if begun && self.guests.waits_for_the_rest(no, now) {
-            return todo.dues.push((now.plus(REST_LOOK), DeadlineOwner::ClientConnections, no));
+    /// Closes a caller's connection that has been unused for too long or must end for a drain; otherwise sets the
+    /// time of its next review.
+    pub(super) fn review_client(&mut self, no: u64, now: Time, todo: &mut Todo) {
+        let has_calls = self.core.has_established_calls(client_of(no));
+        self.client_connections.probe(no, || self.core.pending_call_on(client_of(no)).map(jsonl::trying));
+        // A partly read set-up is waited for: if our close crossed its rest, the caller might make it again too late.
+        // One that stays incomplete ends its connection by the message timeout.
+        let message_begun = self.connections.get(&(Side::Caller, no)).is_some_and(|line| line.has_begun());
+        if message_begun && self.client_connections.waits_for_the_rest(no, now) {
+            return todo.dues.push((now.plus(REST_CHECK_INTERVAL), DeadlineOwner::ClientConnections, no));
         }
-        if let Some(came) = self.guests.owed_nothing(no) {
-            match self.drain.look(came, carries, now) {
-                Door::Stays => {}
-                Door::Again(at) => return todo.dues.push((at, DeadlineOwner::ClientConnections, no)),
-                Door::Ends => return self.guests.finish(no),
+        if let Some(connected_at) = self.client_connections.owed_nothing(no) {
+            match self.drain.review_connection(connected_at, has_calls, now) {
+                ConnectionReview::Keep => {}
+                ConnectionReview::ReviewAt(at) => {
+                    return todo.dues.push((at, DeadlineOwner::ClientConnections, no))
+                }
+                ConnectionReview::Close => return self.client_connections.finish(no),
             }
         }
-        match self.guests.look(no, carries, now) {
+        match self.client_connections.look(no, has_calls, now) {
             Look::Again(at) => todo.dues.push((at, DeadlineOwner::ClientConnections, no)),
-            Look::Ends => self.tally.expired += 1,
+            Look::Ends => self.counters.expired += 1,
         }
     }
 }
 
 impl State {
-    /// How many connections callers may hold beside those to the call servers that are listed.
-    pub(super) fn share_descriptors(&mut self, limits: Limits) {
-        self.guests.set_most(limits.callers_beside(self.core.listed_servers().count()));
+    /// Limits callers' connections to what is left beside those to the listed call servers.
+    pub(super) fn limit_client_connections(&mut self, limits: Limits) {
+        self.client_connections.set_most(limits.callers_beside(self.core.listed_servers().count()));
     }
 
-    /// Callers' connections give way to those to call servers, the least used first. Guards against idle connections that
-    /// came while no list was held, and leave a list that comes without descriptors for its call servers.
-    pub(super) fn yield_to_links(&mut self, limits: Limits, parting: usize) {
-        self.share_descriptors(limits);
-        let State { guests, core, .. } = self;
-        while !guests.fits(parting) && guests.make_room(|no| core.has_established_calls(client_of(no))) {}
+    /// Closes callers' connections in favour of those to call servers, the least used first. Guards against idle
+    /// connections that came before the first list and leave no descriptors for the call servers on it.
+    pub(super) fn make_room_for_links(&mut self, limits: Limits, closing: usize) {
+        self.limit_client_connections(limits);
+        let State { client_connections, core, .. } = self;
+        while !client_connections.fits(closing)
+            && client_connections.make_room(|no| core.has_established_calls(client_of(no)))
+        {}
     }
 
-    /// One of a connection's set-ups needs no answer any more; while callers are sent away it may end then.
-    pub(super) fn settled(&mut self, no: u64, told: bool, now: Time, todo: &mut Todo) {
-        self.guests.settled(no, told, now);
-        if !self.drain.works() {
+    /// One of a connection's set-ups needs no answer any more. During a drain the connection may now end.
+    pub(super) fn answer_settled(&mut self, no: u64, told: bool, now: Time, todo: &mut Todo) {
+        self.client_connections.settled(no, told, now);
+        if !self.drain.is_working() {
             todo.dues.push((now, DeadlineOwner::ClientConnections, no));
         }
     }
 }
 
 impl Instance {
-    /// Accepts callers. Where there is no room left, the connection that needs it least makes room; if all are owed an
-    /// answer, the new one is turned away. Guards against callers left waiting at a door that nobody opens.
+    /// Accepts callers. At the limit, the connection that needs it least is closed for the new one; if all
+    /// connections wait for an answer, the new one is closed. Guards against callers left waiting in the listener's
+    /// backlog.
     pub(super) async fn accept(self, listener: Rc<TcpListener>) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    self.comes(stream);
-                    // A burst of connections must not keep those that are there waiting.
+                    self.admit(stream);
+                    // A burst of new connections must not delay the existing ones.
                     tokio::task::yield_now().await;
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
@@ -100,133 +107,143 @@
         }
     }
 
-    /// Closes the door of a process that ends, once those who had come to it are let in. Guards against callers who come
-    /// late and wait for good at a door that the system keeps open and nobody stands at: a refused connection tells them
-    /// at once that nothing was taken. `shared`: the platform or a successor stands at it too, and lets them in.
-    pub(super) async fn close_door(&self, doors: &Doors, acceptor: Option<JoinHandle<()>>, shared: bool) {
+    /// Closes the listener of a stopping process after the connections in its backlog are accepted. Guards against
+    /// late callers who wait for good in a backlog from which no process accepts: a refused connection tells them at
+    /// once that nothing was accepted. `shared`: the platform or a successor accepts on the same listener, so it is
+    /// left as it is.
+    pub(super) async fn close_listener(
+        &self,
+        listeners: &Listeners,
+        acceptor: Option<JoinHandle<()>>,
+        shared: bool,
+    ) {
         if let Some(acceptor) = acceptor {
             acceptor.abort();
             let _ = acceptor.await;
         }
-        let Some(listener) = doors.listener.take().filter(|_| !shared) else { return };
-        let closes = tokio::time::Instant::now() + CLOSES_WITHIN;
+        let Some(listener) = listeners.callers.take().filter(|_| !shared) else { return };
+        let deadline = tokio::time::Instant::now() + CLOSE_LISTENER_TIMEOUT;
         loop {
-            let quiet = (tokio::time::Instant::now() + QUIET).min(closes);
-            match tokio::time::timeout_at(quiet, listener.accept()).await {
-                Ok(Ok((stream, _))) => self.comes(stream),
+            let quiet_until = (tokio::time::Instant::now() + ACCEPT_QUIET_TIME).min(deadline);
+            match tokio::time::timeout_at(quiet_until, listener.accept()).await {
+                Ok(Ok((stream, _))) => self.admit(stream),
                 Ok(Err(_)) | Err(_) => return,
             }
         }
     }
 
-    /// A caller has connected.
-    fn comes(&self, stream: TcpStream) {
+    /// Serves a new connection if there is room for it, and closes it otherwise.
+    fn admit(&self, stream: TcpStream) {
         let room = {
             let mut state = self.0.state.borrow_mut();
-            let parting = self.0.parting.get();
-            let State { guests, core, tally, .. } = &mut *state;
-            let room =
-                guests.has_room(parting) || guests.make_room(|no| core.has_established_calls(client_of(no)));
-            tally.turned_away += u64::from(!room);
+            let closing = self.0.closing_connections.get();
+            let State { client_connections, core, counters, .. } = &mut *state;
+            let room = client_connections.has_room(closing)
+                || client_connections.make_room(|no| core.has_established_calls(client_of(no)));
+            counters.turned_away += u64::from(!room);
             room
         };
         if room {
-            self.client(stream);
+            self.add_client(stream);
         }
     }
 
-    /// Puts a new connection on the books and serves it. Both at once, so that a successor finds it there.
-    fn client(&self, stream: TcpStream) {
+    /// Registers a new connection and serves it. Registered before anything else runs, so that a takeover includes
+    /// it.
+    fn add_client(&self, stream: TcpStream) {
         let queue = Rc::new(WriteQueue::within(&self.0.caller_bytes));
         let line = Rc::new(Line::new(stream));
         let now = self.0.clock.now();
         let mut no = 0;
-        self.turn(|state, todo| {
+        self.apply(|state, todo| {
             state.next_client += 1;
             no = state.next_client;
-            state.lines.insert((Side::Caller, no), line.clone());
-            let first_look = state.guests.add(no, queue.clone(), now);
-            let until = state.drain.new_ones_until().map_or(first_look, |_| now);
+            state.connections.insert((Side::Caller, no), line.clone());
+            let first_review = state.client_connections.add(no, queue.clone(), now);
+            let until = state.drain.accepts_connections_until().map_or(first_review, |_| now);
             todo.dues.push((until, DeadlineOwner::ClientConnections, no));
             todo.inputs.push(Input::ClientUp(client_of(no)));
         });
         self.serve_client(no, line);
     }
 
-    /// Serves a caller's connection that is on the books.
+    /// Serves a registered caller's connection.
     pub(super) fn serve_client(&self, no: u64, line: Rc<Line>) {
-        // Guards against a panic in reading one connection's bytes that leaves its entry behind.
-        let gone = Gone { instance: self.clone(), no };
-        spawn_local(self.clone().talk(no, line, gone));
+        // Guards against a stale registration after a panic in reading the connection's bytes.
+        let guard = ClientGuard { instance: self.clone(), no };
+        spawn_local(self.clone().run_client(no, line, guard));
     }
 
-    async fn talk(self, no: u64, line: Rc<Line>, gone: Gone) {
-        let Some(queue) = self.0.state.borrow().guests.queue_of(no) else { return };
+    async fn run_client(self, no: u64, line: Rc<Line>, guard: ClientGuard) {
+        let Some(queue) = self.0.state.borrow().client_connections.queue_of(no) else { return };
         let mut reader = ClientReader { instance: self.clone(), no };
         let end = serve(&line, &queue, &self.0.pool, &mut reader).await;
         if !matches!(end, End::Closed | End::Ours) {
-            self.0.state.borrow_mut().tally.lost += 1;
+            self.0.state.borrow_mut().counters.lost_connections += 1;
         }
-        let in_order = end == End::Ours && queue.finished() && self.0.parting.get() < MOST_PARTING;
-        // Nothing more can be said on it: releases go elsewhere from here on.
-        drop(gone);
+        let in_order = end == End::Ours
+            && queue.finished()
+            && self.0.closing_connections.get() < MAX_CLOSING_CONNECTIONS;
+        // Nothing more can be written on this connection: releases go out on others from here on.
+        drop(guard);
         if in_order {
-            self.0.parting.set(self.0.parting.get() + 1);
+            self.0.closing_connections.set(self.0.closing_connections.get() + 1);
             part(&line, &self.0.pool, &mut reader).await;
-            self.0.parting.set(self.0.parting.get() - 1);
+            self.0.closing_connections.set(self.0.closing_connections.get() - 1);
         }
     }
 
     /// A caller's connection has ended.
-    pub(super) fn client_gone(&self, no: u64) {
-        self.guarded(|state, todo| {
-            state.lines.remove(&(Side::Caller, no));
-            state.guests.remove(no);
+    pub(super) fn client_disconnected(&self, no: u64) {
+        self.apply_guarded(|state, todo| {
+            state.connections.remove(&(Side::Caller, no));
+            state.client_connections.remove(no);
             todo.inputs.push(Input::ClientDown(client_of(no)));
         });
     }
 
-    /// A line on a connection that is ended, or about to be: set-ups on it are made again elsewhere, or were turned away.
-    /// What gives up or ends a call is heard. Guards against calls left standing at call servers, and set-ups sent on,
-    /// whose callers said so in the moment when their connection was closed here.
-    fn last_line(&self, no: u64, bytes: &[u8]) {
+    /// Handles a line on a connection that has ended or is about to. Set-ups are ignored: callers make them again
+    /// elsewhere, or were refused. Releases and their confirmations are still handled. Guards against calls that stay
+    /// established at call servers, and set-ups sent on, although the caller ended them just as its connection was
+    /// closed here.
+    fn handle_line_while_ending(&self, no: u64, bytes: &[u8]) {
         match jsonl::parse(bytes) {
-            Ok(Said::Close(sid, cause)) => self.input(Input::HangUp(client_of(no), sid, cause)),
-            Ok(Said::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
+            Ok(Message::Close(sid, cause)) => self.input(Input::HangUp(client_of(no), sid, cause)),
+            Ok(Message::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
             _ => {}
         }
     }
 
-    fn client_line(&self, no: u64, bytes: &[u8]) {
+    fn handle_line(&self, no: u64, bytes: &[u8]) {
         let client = client_of(no);
         let now = self.0.clock.now();
         match jsonl::parse(bytes) {
-            Ok(Said::Open(set_up)) => self.turn(|state, todo| {
-                state.guests.owes(no, now);
+            Ok(Message::Open(set_up)) => self.apply(|state, todo| {
+                state.client_connections.owes(no, now);
                 todo.inputs.push(Input::SetUp(client, set_up));
             }),
-            Ok(Said::Close(sid, cause)) => self.turn(|state, todo| {
-                state.guests.heard(no, now);
+            Ok(Message::Close(sid, cause)) => self.apply(|state, todo| {
+                state.client_connections.heard(no, now);
                 todo.inputs.push(Input::HangUp(client, sid, cause));
             }),
-            Ok(Said::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
-            Ok(Said::Probe(sid)) => self.turn(|state, todo| {
-                let passed = state.core.ready() && state.drain.works();
-                state.guests.write(no, jsonl::probed(&sid, passed));
+            Ok(Message::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
+            Ok(Message::Probe(sid)) => self.apply(|state, todo| {
+                let passed = state.core.ready() && state.drain.is_working();
+                state.client_connections.write(no, jsonl::probed(&sid, passed));
                 todo.inputs.push(Input::HealthCheck(client));
             }),
-            Ok(Said::Other) => {}
-            Err(error) => self.turn(|state, todo| {
-                state.tally.lines += 1;
+            Ok(Message::Other) => {}
+            Err(error) => self.apply(|state, todo| {
+                state.counters.malformed_lines += 1;
                 let answerable = match &error {
                     LineError::Lacks(sid, _) => {
                         let line = jsonl::close(*sid, jsonl::CAUSE_INVALID, Span::default());
-                        // One whose name is that of a call owed an answer on this connection must not look like it.
-                        !state.core.awaits_answer(*sid) && state.guests.write(no, line)
+                        // The refusal must not be taken for the answer to a pending call of the same id.
+                        !state.core.awaits_answer(*sid) && state.client_connections.write(no, line)
                     }
                     LineError::Form(_) | LineError::Name => false,
                 };
-                if let Some(at) = state.guests.offends(no, answerable, now) {
+                if let Some(at) = state.client_connections.offends(no, answerable, now) {
                     todo.dues.push((at, DeadlineOwner::ClientConnections, no));
                 }
             }),
@@ -234,16 +251,16 @@
     }
 }
 
-/// Takes a caller's connection off the books when its task ends, however it ends.
-struct Gone {
+/// Removes a caller's connection when its task ends, in whatever way.
+struct ClientGuard {
     instance: Instance,
     no: u64,
 }
 
-impl Drop for Gone {
+impl Drop for ClientGuard {
     fn drop(&mut self) {
         if self.instance.0.state.try_borrow_mut().is_ok() {
-            self.instance.client_gone(self.no);
+            self.instance.client_disconnected(self.no);
         }
     }
 }
@@ -256,21 +273,21 @@
 impl Reader for ClientReader {
     fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
         let mut used = 0;
-        let ending = || self.instance.0.state.borrow().guests.is_ending(self.no);
+        let ending = || self.instance.0.state.borrow().client_connections.is_ending(self.no);
         while let Some(length) = bytes[used..].iter().position(|byte| *byte == b'\n') {
             let line = &bytes[used..used + length];
             used += length + 1;
             match line.trim_ascii().is_empty() {
                 true => {}
-                false if ending() => self.instance.last_line(self.no, line),
-                false => self.instance.client_line(self.no, line),
+                false if ending() => self.instance.handle_line_while_ending(self.no, line),
+                false => self.instance.handle_line(self.no, line),
             }
         }
         if bytes.len() - used > MESSAGE {
             if ending() {
-                return Ok(bytes.len()); // no end of a call is so long
+                return Ok(bytes.len()); // no release is this long
             }
-            self.instance.0.state.borrow_mut().tally.lines += 1;
+            self.instance.0.state.borrow_mut().counters.malformed_lines += 1;
             return Err(Unreadable);
         }
         Ok(used)
@@ -278,13 +295,13 @@
     fn ended(&mut self) -> bool {
         let now = self.instance.0.clock.now();
         let mut more = false;
-        self.instance.turn(|state, todo| {
-            more = state.guests.half_closed(self.no);
-            state.look_at(self.no, now, todo);
+        self.instance.apply(|state, todo| {
+            more = state.client_connections.half_closed(self.no);
+            state.review_client(self.no, now, todo);
         });
         more
     }
     fn patience(&self) -> Duration {
-        WHOLE_WITHIN
+        MESSAGE_TIMEOUT
     }
 }
--- a/src/instance/directories.rs
+++ b/src/instance/directories.rs
@@ -1,5 +1,5 @@
-//! Following the directories: which call servers there are. What is followed changes when the configuration does;
-//! what has been told so far stays.
+//! Follows the directories (bulletin and DNS-SD) that list the call servers. A changed configuration changes which
+//! are followed; the list received so far stays.
 
 use std::net::SocketAddr;
 
@@ -11,94 +11,98 @@
 use crate::directory::dns_sd::{self, DnsError};
 use crate::instance::Instance;
 
-/// What is followed.
+/// The directories to follow.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Followed {
-    /// The bulletin.
+pub(super) struct DirectoryConfig {
+    /// The bulletin's address.
     pub(super) bulletin: Option<SocketAddr>,
-    /// DNS-SD records.
+    /// The DNS-SD resolver and service.
     pub(super) dns_sd: Option<DnsSdConfig>,
-    /// Names of the zones, by which both tell where a call server stands.
+    /// Names of the zones, by which both directories say where a call server is.
     pub(super) zones: Vec<String>,
 }
 
-impl Followed {
-    pub(super) fn of(config: &InstanceConfig) -> Followed {
+impl DirectoryConfig {
+    pub(super) fn of(config: &InstanceConfig) -> DirectoryConfig {
         let InstanceConfig { bulletin, dns_sd, zones, .. } = config;
-        Followed { bulletin: *bulletin, dns_sd: dns_sd.clone(), zones: zones.clone() }
+        DirectoryConfig { bulletin: *bulletin, dns_sd: dns_sd.clone(), zones: zones.clone() }
     }
 }
 
 impl Instance {
-    /// Follows the directories for good, those named last. Guards against news lost between two bulletins: the
-    /// numbers carry on, so the next one is asked for what came after the last event taken.
-    pub(super) async fn follow(self, mut followed: watch::Receiver<Followed>) {
+    /// Follows the directories of the latest configuration; never returns. Guards against updates lost on a change of
+    /// the bulletin: event numbers continue, so the new one is asked for the events after the last one taken.
+    pub(super) async fn follow(self, mut directories: watch::Receiver<DirectoryConfig>) {
         let mut watch = dns_sd::Watch::default();
         loop {
-            let now = followed.borrow_and_update().clone();
+            let current = directories.borrow_and_update().clone();
             tokio::select! {
-                _ = self.follow_bulletin(&now) => {}
-                _ = self.follow_dns_sd(&now, &mut watch) => {}
-                changed = followed.changed() => if changed.is_err() { return },
+                _ = self.follow_bulletin(&current) => {}
+                _ = self.follow_dns_sd(&current, &mut watch) => {}
+                changed = directories.changed() => if changed.is_err() { return },
             }
         }
     }
 
-    async fn follow_bulletin(&self, followed: &Followed) {
-        let Some(address) = followed.bulletin else { return std::future::pending().await };
+    async fn follow_bulletin(&self, config: &DirectoryConfig) {
+        let Some(address) = config.bulletin else { return std::future::pending().await };
         let party = ("bulletin", address);
         let failed = |error| {
-            self.0.state.borrow_mut().tally.bulletin_failures += 1;
-            self.failed(party, &error);
+            self.0.state.borrow_mut().counters.bulletin_failures += 1;
+            self.report_failure(party, &error);
         };
-        let take = |page| match self.page(page) {
+        let take = |page| match self.take_bulletin_page(page) {
             None => {
-                self.works(party);
+                self.report_recovery(party);
                 Ok(())
             }
             Some(spoilt) => Err(BulletinError::Spoilt(spoilt)),
         };
-        bulletin::follow(address, &self.0.heard, &followed.zones, take, failed).await;
+        bulletin::follow(address, &self.0.bulletin_cursor, &config.zones, take, failed).await;
     }
 
-    async fn follow_dns_sd(&self, followed: &Followed, watch: &mut dns_sd::Watch) {
+    async fn follow_dns_sd(&self, config: &DirectoryConfig, watch: &mut dns_sd::Watch) {
         let take = |hosts| {
             let list = Input::List { source: Source::DnsSd, whole: true, hosts };
-            self.guarded(|_, todo| todo.inputs.push(list));
+            self.apply_guarded(|_, todo| todo.inputs.push(list));
         };
-        let Some(dns) = &followed.dns_sd else {
+        let Some(dns) = &config.dns_sd else {
             if watch.ends() {
                 take(Vec::new());
             }
             return std::future::pending().await;
         };
         let party = ("resolver", dns.resolver);
-        let heard = |round: Result<(), DnsError>| match round {
-            Ok(()) => self.works(party),
+        let report = |result: Result<(), DnsError>| match result {
+            Ok(()) => self.report_recovery(party),
             Err(error) => {
-                self.0.state.borrow_mut().tally.dns_failures += 1;
-                self.failed(party, &error);
+                self.0.state.borrow_mut().counters.dns_failures += 1;
+                self.report_failure(party, &error);
             }
         };
-        dns_sd::follow(dns.resolver, dns.service.clone(), followed.zones.clone(), watch, take, heard).await;
+        dns_sd::follow(dns.resolver, dns.service.clone(), config.zones.clone(), watch, take, report).await;
     }
 
-    /// Takes what a page of the bulletin tells beyond the last event taken; what is to be asked for again.
-    pub(super) fn page(&self, page: Page) -> Option<Spoilt> {
-        let taken = self.0.heard.borrow_mut().take(page);
+    /// Takes the events of a bulletin page after the last one taken. Returns an unreadable event that is to be
+    /// requested again.
+    pub(super) fn take_bulletin_page(&self, page: Page) -> Option<Spoilt> {
+        let taken = self.0.bulletin_cursor.borrow_mut().take(page);
         let passed_over = taken.spoilt.as_ref().and_then(|spoilt| spoilt.passed_over);
         if let Some(spoilt) = taken.spoilt.as_ref().filter(|spoilt| spoilt.passed_over.is_some()) {
             let instance = self.name();
-            tracing::warn!(instance, party = "bulletin", why = %spoilt, "passed over; what was known stays");
+            tracing::warn!(
+                instance, party = "bulletin", why = %spoilt,
+                "unreadable entries skipped; the known list stays"
+            );
         }
-        self.guarded(|state, todo| {
-            state.tally.bulletin += passed_over.unwrap_or(0);
-            let news = taken.changes.into_iter().map(|change| Input::List {
+        self.apply_guarded(|state, todo| {
+            state.counters.malformed_bulletin += passed_over.unwrap_or(0);
+            let updates = taken.changes.into_iter().map(|change| Input::List {
                 source: Source::Bulletin,
                 whole: change.whole,
                 hosts: change.hosts,
             });
-            todo.inputs.extend(news);
+            todo.inputs.extend(updates);
         });
         taken.spoilt.filter(|spoilt| spoilt.passed_over.is_none())
     }
--- a/src/instance/handover.rs
+++ b/src/instance/handover.rs
@@ -1,4 +1,5 @@
-//! What a controller at work holds, handed to its successor in one turn of the loop, and taken over by it.
+//! Handover of a running controller's state and sockets to its successor within one event loop iteration, and the
+//! takeover in the successor.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,13 +24,13 @@
 use crate::interface::Time;
 use crate::net::conn::Line;
 use crate::net::guests::Guests;
-use crate::takeover::{Kind, TakeoverChannel, TakeoverError};
+use crate::takeover::{FrameKind, TakeoverChannel, TakeoverError};
 use crate::upstream::sip::Trunks;
 
-/// A successor that has connected must say what it wants within this.
-const SPEAKS_WITHIN: Duration = Duration::from_millis(500);
+/// A successor that has connected must send its first frame head within this time.
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Whose connection a socket is.
+/// The remote side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Side {
     /// A caller's.
@@ -38,105 +39,115 @@
     Server,
 }
 
-/// What a socket that comes along is, in the sockets' order.
+/// The use of one transferred socket; the list is in the order of the sockets.
 #[derive(Debug, Serialize, Deserialize)]
-enum Socket {
-    /// Where callers connect.
+enum SocketKind {
+    /// The listener for JSON-lines callers.
     Listener,
-    /// Where operators call.
+    /// The listener of the operators' console.
     Console,
-    /// Where peers' datagrams arrive.
+    /// The UDP socket for peer messages.
     Peers,
-    /// A connection: whose, its number, and the part of a message that was read from it.
-    Line(Side, u64, Bytes),
+    /// A connection: its remote side, its number, and the bytes read from it that are not yet a whole message.
+    #[serde(rename = "Line")]
+    Connection(Side, u64, Bytes),
 }
 
-/// All that is handed over, as it is written; [`TakeoverState`] is the same as it is read.
+/// The transferred state as it is serialized, by reference; [`TakeoverState`] is its deserialized form.
 #[derive(Serialize)]
-struct Holds<'a> {
+struct TakeoverStateRef<'a> {
     now: Time,
-    after: u64,
+    #[serde(rename = "after")]
+    last_bulletin_event: u64,
     classes: &'a [Rc<str>],
     zones: &'a [String],
     next_client: u64,
     drain: Drain,
     core: &'a Core,
-    guests: &'a Guests,
+    #[serde(rename = "guests")]
+    client_connections: &'a Guests,
     sip: &'a Trunks,
-    sockets: Vec<Socket>,
+    sockets: Vec<SocketKind>,
 }
 
+/// The transferred state as it is deserialized.
 #[derive(Deserialize)]
 struct TakeoverState {
     now: Time,
-    after: u64,
+    #[serde(rename = "after")]
+    last_bulletin_event: u64,
     classes: Vec<Rc<str>>,
-    /// A predecessor of an older build does not tell them.
+    /// Missing in the state of a predecessor of an older build.
     #[serde(default)]
     zones: Vec<String>,
     next_client: u64,
     drain: Drain,
     core: Core,
-    guests: Guests,
+    #[serde(rename = "guests")]
+    client_connections: Guests,
     sip: Trunks,
-    sockets: Vec<Socket>,
+    sockets: Vec<SocketKind>,
 }
 
-/// What a process goes on with.
+/// State and sockets received from the predecessor.
 pub struct Inheritance {
-    held: TakeoverState,
+    state: TakeoverState,
     pub(super) listener: Option<TcpListener>,
     pub(super) console: Option<TcpListener>,
     pub(super) peers: Option<UdpSocket>,
-    lines: BTreeMap<(Side, u64), (TcpStream, Bytes)>,
+    connections: BTreeMap<(Side, u64), (TcpStream, Bytes)>,
 }
 
 impl Inheritance {
-    /// Asks the predecessor for what it holds. Nothing has changed hands yet: see [`TakeoverChannel::take`].
-    pub fn ask(way: &mut TakeoverChannel, config: &InstanceConfig) -> Result<Inheritance, TakeoverError> {
-        let (state, sockets) = way.ask()?;
+    /// Requests the predecessor's state and sockets. They still belong to the predecessor until
+    /// [`TakeoverChannel::confirm`] returns `Ok`.
+    pub fn request(
+        channel: &mut TakeoverChannel,
+        config: &InstanceConfig,
+    ) -> Result<Inheritance, TakeoverError> {
+        let (bytes, sockets) = channel.request_state()?;
         let unusable = |why: String| TakeoverError::Unusable(why);
-        let mut held: TakeoverState =
-            rmp_serde::from_slice(&state).map_err(|error| unusable(error.to_string()))?;
-        if held.classes != config.core.classes {
-            return Err(unusable("the list of classes differs".to_owned()));
+        let mut state: TakeoverState =
+            rmp_serde::from_slice(&bytes).map_err(|error| unusable(error.to_string()))?;
+        if state.classes != config.core.classes {
+            return Err(unusable("its list of classes differs from the configured one".to_owned()));
         }
-        if !config.zones.starts_with(&held.zones) {
-            return Err(unusable("the list of zones differs".to_owned()));
+        if !config.zones.starts_with(&state.zones) {
+            return Err(unusable("its list of zones differs from the configured one".to_owned()));
         }
-        let forms = std::mem::take(&mut held.sockets);
-        if forms.len() != sockets.len() {
-            return Err(unusable(format!("{} sockets of {}", sockets.len(), forms.len())));
+        let kinds = std::mem::take(&mut state.sockets);
+        if kinds.len() != sockets.len() {
+            return Err(unusable(format!("{} of {} sockets received", sockets.len(), kinds.len())));
         }
-        let mut all =
-            Inheritance { held, listener: None, console: None, peers: None, lines: BTreeMap::new() };
-        for (form, socket) in forms.into_iter().zip(sockets) {
-            all.add(form, socket).map_err(|error| unusable(error.to_string()))?;
+        let mut inheritance =
+            Inheritance { state, listener: None, console: None, peers: None, connections: BTreeMap::new() };
+        for (kind, socket) in kinds.into_iter().zip(sockets) {
+            inheritance.add(kind, socket).map_err(|error| unusable(error.to_string()))?;
         }
-        Ok(all)
+        Ok(inheritance)
     }
 
-    fn add(&mut self, form: Socket, socket: OwnedFd) -> io::Result<()> {
-        match form {
-            Socket::Listener => self.listener = Some(listener_of(socket)?),
-            Socket::Console => self.console = Some(listener_of(socket)?),
-            Socket::Peers => {
+    fn add(&mut self, kind: SocketKind, socket: OwnedFd) -> io::Result<()> {
+        match kind {
+            SocketKind::Listener => self.listener = Some(listener_of(socket)?),
+            SocketKind::Console => self.console = Some(listener_of(socket)?),
+            SocketKind::Peers => {
                 let socket = std::net::UdpSocket::from(socket);
                 socket.set_nonblocking(true)?;
                 self.peers = Some(UdpSocket::from_std(socket)?);
             }
-            Socket::Line(side, no, read) => {
+            SocketKind::Connection(side, no, read) => {
                 let stream = std::net::TcpStream::from(socket);
                 stream.set_nonblocking(true)?;
-                self.lines.insert((side, no), (TcpStream::from_std(stream)?, read));
+                self.connections.insert((side, no), (TcpStream::from_std(stream)?, read));
             }
         }
         Ok(())
     }
 
-    /// The predecessor's time when it let go.
+    /// The predecessor's clock when it serialized its state.
     pub(super) fn now(&self) -> Time {
-        self.held.now
+        self.state.now
     }
 }
 
@@ -146,221 +157,233 @@
     TcpListener::from_std(listener)
 }
 
-/// What is held, for the people on call.
+/// Counts for the log line of a takeover.
 fn summary(state: &State) -> String {
-    let (open, standing, lines) =
-        (state.core.pending_calls(), state.core.established_calls(), state.lines.len());
-    format!("{open} calls that wait, {standing} that stand, {lines} connections")
+    let (pending, established, connections) =
+        (state.core.pending_calls(), state.core.established_calls(), state.connections.len());
+    format!("{pending} pending calls, {established} established calls, {connections} connections")
 }
 
-/// What is to be done once the loop runs: connections to serve and to make.
+/// Work left until the event loop runs: connections to serve, to make and to clean up.
 #[derive(Default)]
-pub(super) struct Unfinished {
+pub(super) struct PendingConnections {
     callers: Vec<(u64, Rc<Line>)>,
     servers: Vec<(u64, Rc<Line>)>,
-    to_make: Vec<(u64, SocketAddr)>,
+    to_connect: Vec<(u64, SocketAddr)>,
     lost: Vec<(Side, u64)>,
 }
 
-/// The sockets beside its connections that a controller hands over.
-pub(super) struct Doors {
-    /// Where callers connect; closed before the process ends.
-    pub(super) listener: RefCell<Option<Rc<TcpListener>>>,
+/// A controller's listening sockets; callers' and the console's are part of a handover.
+pub(super) struct Listeners {
+    /// For JSON-lines callers; closed before the process ends.
+    pub(super) callers: RefCell<Option<Rc<TcpListener>>>,
     pub(super) console: Option<Rc<TcpListener>>,
-    /// Where it waits for a successor.
-    pub(super) heirs: Option<UnixListener>,
+    /// The Unix socket on which a successor connects.
+    pub(super) successors: Option<UnixListener>,
 }
 
 impl Instance {
-    /// Goes on with what the predecessor held.
-    pub(super) fn inherit(&self, all: Inheritance, config: &InstanceConfig) -> Unfinished {
-        let Inheritance { held, lines, .. } = all;
+    /// Restores the predecessor's state.
+    pub(super) fn inherit(&self, inheritance: Inheritance, config: &InstanceConfig) -> PendingConnections {
+        let Inheritance { state: inherited, connections, .. } = inheritance;
         let limits = config.limits;
-        let mut left = Unfinished::default();
+        let mut pending = PendingConnections::default();
         let mut state = self.0.state.borrow_mut();
         let state = &mut *state;
-        state.core = held.core.resume(config.core.clone());
-        let callers = limits.callers_beside(state.core.listed_servers().count());
-        state.guests = held.guests.resume(callers, &self.0.caller_bytes);
-        state.next_client = held.next_client;
-        let stands = |no: u64| lines.contains_key(&(Side::Server, no));
-        let sip = held.sip.resume(&self.0.server_bytes, limits.links(), stands);
-        (state.sip, left.to_make) = (sip.trunks, sip.to_make);
-        left.lost.extend(sip.lost.into_iter().map(|no| (Side::Server, no)));
-        let without =
-            state.guests.numbers().into_iter().filter(|no| !lines.contains_key(&(Side::Caller, *no)));
-        left.lost.extend(without.map(|no| (Side::Caller, no)));
-        for ((side, no), (stream, read)) in lines {
+        state.core = inherited.core.resume(config.core.clone());
+        let max_callers = limits.callers_beside(state.core.listed_servers().count());
+        state.client_connections = inherited.client_connections.resume(max_callers, &self.0.caller_bytes);
+        state.next_client = inherited.next_client;
+        let has_socket = |no: u64| connections.contains_key(&(Side::Server, no));
+        let sip = inherited.sip.resume(&self.0.server_bytes, limits.links(), has_socket);
+        (state.sip, pending.to_connect) = (sip.trunks, sip.to_make);
+        pending.lost.extend(sip.lost.into_iter().map(|no| (Side::Server, no)));
+        let without_socket = state
+            .client_connections
+            .numbers()
+            .into_iter()
+            .filter(|no| !connections.contains_key(&(Side::Caller, *no)));
+        pending.lost.extend(without_socket.map(|no| (Side::Caller, no)));
+        for ((side, no), (stream, read)) in connections {
             let Some(line) = Line::resumed(stream, &read, &self.0.pool).map(Rc::new) else {
-                left.lost.push((side, no));
+                pending.lost.push((side, no));
                 continue;
             };
-            state.lines.insert((side, no), line.clone());
+            state.connections.insert((side, no), line.clone());
             match side {
-                Side::Caller => left.callers.push((no, line)),
-                Side::Server => left.servers.push((no, line)),
+                Side::Caller => pending.callers.push((no, line)),
+                Side::Server => pending.servers.push((no, line)),
             }
         }
-        // A predecessor that was told to end is ending; this process is not.
-        state.drain = match held.drain.phase() {
-            Phase::Draining { stopping: false, .. } => held.drain,
+        // A drain by LAMEDUCK is inherited. A stop is not: it concerns the old process only.
+        state.drain = match inherited.drain.phase() {
+            Phase::Draining { stopping: false, .. } => inherited.drain,
             _ => Drain::default(),
         };
-        state.core.refuse_set_ups_from(state.drain.refuses_from());
-        tracing::info!("taken over: {}", summary(state));
-        *self.0.heard.borrow_mut() = Cursor::at(held.after);
-        left
+        state.core.refuse_set_ups_from(state.drain.refuses_set_ups_from());
+        tracing::info!("takeover complete: {}", summary(state));
+        *self.0.bulletin_cursor.borrow_mut() = Cursor::at(inherited.last_bulletin_event);
+        pending
     }
 
-    /// Serves and makes the connections that came along.
-    pub(super) fn finish(&self, left: Unfinished) {
-        for (side, no) in left.lost {
+    /// Serves the inherited connections, makes those the predecessor had begun to make, and cleans up after lost
+    /// ones.
+    pub(super) fn resume_connections(&self, pending: PendingConnections) {
+        for (side, no) in pending.lost {
             match side {
-                Side::Caller => self.client_gone(no),
-                Side::Server => self.link_gone(no),
+                Side::Caller => self.client_disconnected(no),
+                Side::Server => self.link_lost(no),
             }
         }
-        for (no, line) in left.callers {
+        for (no, line) in pending.callers {
             self.serve_client(no, line);
         }
-        for (no, line) in left.servers {
+        for (no, line) in pending.servers {
             tokio::task::spawn_local(self.clone().resume_link(no, line));
         }
-        self.turn(|_, todo| todo.links = left.to_make);
+        self.apply(|_, todo| todo.links = pending.to_connect);
     }
 
-    /// Waits for a successor and hands everything over; returns when this controller holds nothing any more. To be
-    /// polled by the future that runs the controller: nothing else may run between the hand-over and its end.
-    pub(super) async fn hand_over(&self, doors: &Doors) {
-        let Some(heirs) = &doors.heirs else { return std::future::pending().await };
+    /// Waits for successors and returns once one has taken over. Must be polled by the future that runs the
+    /// controller, so that nothing else runs between the handover and the controller's end.
+    pub(super) async fn hand_over(&self, listeners: &Listeners) {
+        let Some(successors) = &listeners.successors else { return std::future::pending().await };
         loop {
-            let Ok((stream, _)) = heirs.accept().await else {
+            let Ok((stream, _)) = successors.accept().await else {
                 tokio::time::sleep(Duration::from_millis(100)).await;
                 continue;
             };
-            match self.hand_to(stream, doors).await {
+            match self.hand_over_to(stream, listeners).await {
                 Ok(true) => return,
                 Ok(false) => {}
-                Err(error) => tracing::warn!("not handed over: {error}"),
+                Err(error) => tracing::warn!("handover failed: {error}"),
             }
         }
     }
 
-    async fn hand_to(&self, mut stream: UnixStream, doors: &Doors) -> Result<bool, TakeoverError> {
-        // Only the first word is waited for without standing still: whoever connects and says nothing costs nothing.
+    async fn hand_over_to(
+        &self,
+        mut stream: UnixStream,
+        listeners: &Listeners,
+    ) -> Result<bool, TakeoverError> {
+        // The first frame head is awaited without blocking the event loop: a connection that sends nothing costs
+        // nothing.
         let mut head = [0; 8];
-        let read = timeout(SPEAKS_WITHIN, stream.read_exact(&mut head)).await;
+        let read = timeout(FIRST_FRAME_TIMEOUT, stream.read_exact(&mut head)).await;
         read.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        let mut way = TakeoverChannel::to_successor(stream.into_std()?)?;
-        let kind = match Kind::asked(&head) {
+        let mut channel = TakeoverChannel::to_successor(stream.into_std()?)?;
+        let kind = match FrameKind::parse_request(&head) {
             Ok(kind) => kind,
             Err(error) => {
-                way.say(Kind::No, error.to_string().as_bytes())?;
+                channel.send(FrameKind::Refusal, error.to_string().as_bytes())?;
                 return Err(error);
             }
         };
-        if kind == Kind::Leave {
-            tracing::info!("asked to leave by a successor that starts anew");
-            self.0.leave.notify_one();
+        if kind == FrameKind::Stop {
+            tracing::info!("stopping: a successor started without this process's state");
+            self.0.stop_requested.notify_one();
             return Ok(false);
         }
         let mut state = self.0.state.borrow_mut();
         let state = &mut *state;
-        if state.callers_socket.is_some() || state.servers_socket.is_some() {
-            way.say(Kind::No, b"calls of IAX2 cannot change hands")?;
+        if state.iax2_front_socket.is_some() || state.iax2_server_socket.is_some() {
+            channel.send(FrameKind::Refusal, b"IAX2 calls cannot be handed over")?;
             return Ok(false);
         }
-        let listener = doors.listener.borrow().clone();
-        let (text, sockets) = match self.all_held(state, listener.as_deref(), doors) {
-            Ok(all) => all,
+        let listener = listeners.callers.borrow().clone();
+        let (state_bytes, sockets) = match self.snapshot(state, listener.as_deref(), listeners) {
+            Ok(snapshot) => snapshot,
             Err(why) => {
-                way.say(Kind::No, why.as_bytes())?;
+                channel.send(FrameKind::Refusal, why.as_bytes())?;
                 return Ok(false);
             }
         };
-        way.hand_over(&text, &sockets)?;
-        tracing::info!("handed over: {}", summary(state));
+        channel.send_state(&state_bytes, &sockets)?;
+        tracing::info!("handover complete: {}", summary(state));
         Ok(true)
     }
 
-    fn all_held<'a>(
+    /// Serializes the state and lists the sockets that go with it.
+    fn snapshot<'a>(
         &self,
         state: &'a State,
         listener: Option<&'a TcpListener>,
-        doors: &'a Doors,
+        listeners: &'a Listeners,
     ) -> Result<(Vec<u8>, Vec<BorrowedFd<'a>>), String> {
-        let (mut forms, mut sockets) = (Vec::new(), Vec::new());
-        let mut add = |form, socket| {
-            forms.push(form);
+        let (mut kinds, mut sockets) = (Vec::new(), Vec::new());
+        let mut add = |kind, socket| {
+            kinds.push(kind);
             sockets.push(socket);
         };
         if let Some(listener) = listener {
-            add(Socket::Listener, listener.as_fd());
+            add(SocketKind::Listener, listener.as_fd());
         }
-        if let Some(console) = &doors.console {
-            add(Socket::Console, console.as_fd());
+        if let Some(console) = &listeners.console {
+            add(SocketKind::Console, console.as_fd());
         }
         if let Some(peers) = &state.peer_socket {
-            add(Socket::Peers, peers.as_fd());
+            add(SocketKind::Peers, peers.as_fd());
         }
-        for ((side, no), line) in &state.lines {
-            add(Socket::Line(*side, *no, line.read_so_far().into()), line.stream().as_fd());
+        for ((side, no), line) in &state.connections {
+            add(SocketKind::Connection(*side, *no, line.read_so_far().into()), line.stream().as_fd());
         }
-        let followed = self.0.followed.borrow();
-        let holds = Holds {
+        let directories = self.0.directories.borrow();
+        let transferred = TakeoverStateRef {
             now: self.0.clock.now(),
-            after: self.0.heard.borrow().after(),
+            last_bulletin_event: self.0.bulletin_cursor.borrow().after(),
             classes: state.core.classes(),
-            zones: &followed.zones,
+            zones: &directories.zones,
             next_client: state.next_client,
             drain: state.drain,
             core: &state.core,
-            guests: &state.guests,
+            client_connections: &state.client_connections,
             sip: &state.sip,
-            sockets: forms,
+            sockets: kinds,
         };
-        let text = rmp_serde::to_vec_named(&holds).map_err(|error| error.to_string())?;
-        Ok((text, sockets))
+        let bytes = rmp_serde::to_vec_named(&transferred).map_err(|error| error.to_string())?;
+        Ok((bytes, sockets))
     }
 }
 
-/// How a process comes to its start: alone, or after another.
+/// The process that a new one takes over from, if there is one, and the Unix socket of takeovers.
 pub struct Predecessor {
-    way: Option<TakeoverChannel>,
-    place: Option<PathBuf>,
+    channel: Option<TakeoverChannel>,
+    socket_path: Option<PathBuf>,
 }
 
 impl Predecessor {
-    /// Nobody is before it, and nobody comes after.
+    /// No predecessor, and no successor later.
     pub fn none() -> Predecessor {
-        Predecessor { way: None, place: None }
+        Predecessor { channel: None, socket_path: None }
     }
-    /// Looks for a predecessor at this place, where a successor will look too.
-    pub fn find_at(place: PathBuf) -> Predecessor {
-        Predecessor { way: TakeoverChannel::to_predecessor(&place), place: Some(place) }
+    /// Looks for a predecessor at this Unix socket, on which a successor may connect later.
+    pub fn find_at(socket_path: PathBuf) -> Predecessor {
+        Predecessor { channel: TakeoverChannel::to_predecessor(&socket_path), socket_path: Some(socket_path) }
     }
-    /// Whether there is a predecessor.
-    pub fn somebody(&self) -> bool {
-        self.way.is_some()
+    /// Whether a predecessor is running.
+    pub fn is_running(&self) -> bool {
+        self.channel.is_some()
     }
-    /// Where a successor will look.
-    pub(super) fn place(&self) -> Option<&PathBuf> {
-        self.place.as_ref()
+    /// The Unix socket on which a successor connects.
+    pub(super) fn socket_path(&self) -> Option<&PathBuf> {
+        self.socket_path.as_ref()
     }
-    /// Takes what the predecessor holds; tries again where it could not let go in time. `None`: there is nobody, or
-    /// nothing that can be used.
+    /// Takes over the predecessor's state; tries again where the predecessor cancelled because of a timeout. `None`:
+    /// no predecessor is running, or its state cannot be used.
     pub(super) fn inherit(&mut self, config: &InstanceConfig) -> Option<Inheritance> {
-        let place = self.place.clone()?;
-        for _ in 0..TRIES {
-            let mut way = self.way.take().or_else(|| TakeoverChannel::to_predecessor(&place))?;
-            let taken = Inheritance::ask(&mut way, config).and_then(|all| way.take().map(|()| all));
+        let socket_path = self.socket_path.clone()?;
+        for _ in 0..MAX_TRIES {
+            let mut channel =
+                self.channel.take().or_else(|| TakeoverChannel::to_predecessor(&socket_path))?;
+            let taken = Inheritance::request(&mut channel, config)
+                .and_then(|inheritance| channel.confirm().map(|()| inheritance));
             match taken {
-                Ok(all) => return Some(all),
+                Ok(inheritance) => return Some(inheritance),
                 Err(error) => {
-                    tracing::warn!("not taken over: {error}");
+                    tracing::warn!("takeover failed: {error}");
                     if matches!(
                         error,
-                        TakeoverError::No(_) | TakeoverError::Unusable(_) | TakeoverError::Form
+                        TakeoverError::Refused(_) | TakeoverError::Unusable(_) | TakeoverError::InvalidFrame
                     ) {
                         break;
                     }
@@ -369,14 +392,16 @@
         }
         None
     }
-    /// Asks the predecessor to finish what it took, and to end. To be said by a process that can serve without what the
-    /// other holds, or there would be nobody.
-    pub(super) fn ask_to_leave(&self) {
-        if let Some(mut way) = self.place.as_ref().and_then(|place| TakeoverChannel::to_predecessor(place)) {
-            let _ = way.say(Kind::Leave, b"");
+    /// Asks the predecessor to finish its accepted calls and to end. Only to be called once this process can serve
+    /// without the predecessor's state, or no controller would be left.
+    pub(super) fn ask_to_stop(&self) {
+        if let Some(mut channel) =
+            self.socket_path.as_ref().and_then(|path| TakeoverChannel::to_predecessor(path))
+        {
+            let _ = channel.send(FrameKind::Stop, b"");
         }
     }
 }
 
-/// So often is a predecessor asked.
-const TRIES: usize = 3;
+/// Takeover attempts in all.
+const MAX_TRIES: usize = 3;
--- a/src/instance/links.rs
+++ b/src/instance/links.rs
@@ -1,4 +1,4 @@
-//! Connections to call servers: made, served, and taken off the books however they end.
+//! Connections to SIP call servers: making, serving and removing them.
 
 use std::cell::Cell;
 use std::io;
@@ -15,20 +15,20 @@
 use crate::upstream::sip::message::{parse, SipError};
 use crate::upstream::sip::LinkEnd;
 
-/// A message of a call server must be whole within this from its first byte on. Guards against answers that stop short
-/// and leave all that is open on their connection waiting.
-const WHOLE_WITHIN: Duration = Duration::from_millis(400);
-/// What a call server says, as a party in the log: its messages may be spoilt while its connections come up.
-const SAYS: &str = "call server's messages";
+/// Time for a call server's message, from its first byte to its last. Guards against a truncated answer that keeps
+/// every pending call on its connection waiting.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Log party for unreadable messages of a call server; separate, since its connections may come up meanwhile.
+const MESSAGES_PARTY: &str = "call server's messages";
 
 impl Instance {
     /// Makes a connection to a call server and serves it.
-    pub(super) async fn link(self, no: u64, dial: SocketAddr) {
+    pub(super) async fn link(self, no: u64, address: SocketAddr) {
         let Some(queue) = self.0.state.borrow().sip.queue_of(no) else { return };
-        // Guards against a panic in reading one connection's bytes that leaves its entry behind.
-        let gone = LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Ended(End::Unreadable)) };
-        let connect = tokio::time::timeout(self.0.connect_timeout.get(), TcpStream::connect(dial));
-        let how = tokio::select! {
+        // Guards against a stale entry after a panic in reading the connection's bytes.
+        let guard = LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Ended(End::Unreadable)) };
+        let connect = tokio::time::timeout(self.0.connect_timeout.get(), TcpStream::connect(address));
+        let connected = tokio::select! {
             made = connect => match made {
                 Ok(Ok(stream)) => Ok(stream),
                 Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Err(LinkEnd::Refused),
@@ -36,25 +36,25 @@
             },
             _ = aborted(&queue) => Err(LinkEnd::Ended(End::Ours)),
         };
-        let party = ("call server", dial);
-        match &how {
-            Ok(_) => self.works(party),
-            Err(LinkEnd::Refused) => self.failed(party, &"the connection is refused"),
-            Err(LinkEnd::NotMade) => self.failed(party, &"no connection comes up"),
+        let party = ("call server", address);
+        match &connected {
+            Ok(_) => self.report_recovery(party),
+            Err(LinkEnd::Refused) => self.report_failure(party, &"connection refused"),
+            Err(LinkEnd::NotMade) => self.report_failure(party, &"no connection established"),
             Err(LinkEnd::Ended(_)) => {}
         }
-        let end = match how {
+        let end = match connected {
             Ok(stream) => {
                 let (line, now) = (Rc::new(Line::new(stream)), self.0.clock.now());
-                self.turn(|state, todo| {
-                    state.lines.insert((Side::Server, no), line.clone());
+                self.apply(|state, todo| {
+                    state.connections.insert((Side::Server, no), line.clone());
                     state.sip.link_up(no, now, todo);
                 });
                 self.serve_link(no, &line, &queue).await
             }
             Err(end) => end,
         };
-        gone.how.set(end);
+        guard.end.set(end);
     }
 
     async fn serve_link(&self, no: u64, line: &Line, queue: &WriteQueue) -> LinkEnd {
@@ -62,16 +62,16 @@
         LinkEnd::Ended(serve(line, queue, &self.0.pool, &mut reader).await)
     }
 
-    /// Serves a connection to a call server that came along from a predecessor.
+    /// Serves a connection to a call server that was taken over from the predecessor.
     pub(super) async fn resume_link(self, no: u64, line: Rc<Line>) {
         let Some(queue) = self.0.state.borrow().sip.queue_of(no) else { return };
-        let gone = LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Ended(End::Unreadable)) };
-        gone.how.set(self.serve_link(no, &line, &queue).await);
+        let guard = LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Ended(End::Unreadable)) };
+        guard.end.set(self.serve_link(no, &line, &queue).await);
     }
 
-    /// A connection to a call server that did not come along.
-    pub(super) fn link_gone(&self, no: u64) {
-        drop(LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Ended(End::Reset)) });
+    /// Removes a connection to a call server whose socket could not be taken over.
+    pub(super) fn link_lost(&self, no: u64) {
+        drop(LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Ended(End::Reset)) });
     }
 }
 
@@ -81,20 +81,20 @@
     }
 }
 
-/// Takes a call server's connection off the books when its task ends, however it ends.
-struct LinkGone {
+/// Removes a call server's connection when its task ends, in whatever way.
+struct LinkGuard {
     instance: Instance,
     no: u64,
-    how: Cell<LinkEnd>,
+    end: Cell<LinkEnd>,
 }
 
-impl Drop for LinkGone {
+impl Drop for LinkGuard {
     fn drop(&mut self) {
         if self.instance.0.state.try_borrow_mut().is_ok() {
             let now = self.instance.0.clock.now();
-            self.instance.guarded(|state, todo| {
-                state.lines.remove(&(Side::Server, self.no));
-                state.sip.link_ended(self.no, self.how.get(), now, todo);
+            self.instance.apply_guarded(|state, todo| {
+                state.connections.remove(&(Side::Server, self.no));
+                state.sip.link_ended(self.no, self.end.get(), now, todo);
             });
         }
     }
@@ -109,7 +109,7 @@
     fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
         let mut used = 0;
         loop {
-            // Empty lines between messages keep a connection alive and mean nothing.
+            // Empty lines between messages are keep-alives.
             while bytes[used..].starts_with(b"\r\n") {
                 used += 2;
             }
@@ -117,25 +117,25 @@
                 Ok(Some((message, length))) => {
                     used += length;
                     let now = self.instance.0.clock.now();
-                    let mut dial = None;
-                    self.instance.turn(|state, todo| {
+                    let mut address = None;
+                    self.instance.apply(|state, todo| {
                         state.sip.message(self.no, &message, now, todo);
-                        dial = state.sip.dial_of(self.no);
+                        address = state.sip.dial_of(self.no);
                     });
-                    if let Some(dial) = dial {
-                        self.instance.works((SAYS, dial));
+                    if let Some(address) = address {
+                        self.instance.report_recovery((MESSAGES_PARTY, address));
                     }
                 }
                 Ok(None) => return Ok(used),
-                // Where one answer is spoilt, those after it cannot be trusted: they may be anybody's.
+                // After an unreadable message those that follow cannot be assigned to calls safely.
                 Err(error @ (SipError::Message { .. } | SipError::Framing(_))) => {
-                    let dial = {
+                    let address = {
                         let mut state = self.instance.0.state.borrow_mut();
-                        state.tally.sip += 1;
+                        state.counters.malformed_sip += 1;
                         state.sip.dial_of(self.no)
                     };
-                    if let Some(dial) = dial {
-                        self.instance.failed((SAYS, dial), &error);
+                    if let Some(address) = address {
+                        self.instance.report_failure((MESSAGES_PARTY, address), &error);
                     }
                     return Err(Unreadable);
                 }
@@ -146,6 +146,6 @@
         false
     }
     fn patience(&self) -> Duration {
-        WHOLE_WITHIN
+        MESSAGE_TIMEOUT
     }
 }
--- a/src/instance/operators.rs
+++ b/src/instance/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a controller at work.
+//! Operators' commands to a running controller, and its metrics.
 
 use std::rc::Rc;
 
@@ -6,35 +6,38 @@
 
 use crate::console::{self, ConsoleCommand, ConsoleReply};
 use crate::core::DeadlineOwner;
-use crate::drain::{AboutToEnd, Drain, Held, Phase};
+use crate::drain::{Drain, Outstanding, Phase, ProcessEnding};
 use crate::instance::{Instance, State};
 use crate::interface::Time;
 use crate::metrics::{self, Gauges};
 
 impl State {
-    /// What is held that a process which ends must see to. `parting`: connections that wait for the other side.
-    fn held(&self, parting: usize) -> Held {
-        let read = self.guests.all_written() && self.callers.all_acked() && self.servers.all_acked();
-        match (self.core.pending_calls(), read, self.guests.len() + parting) {
-            (1.., ..) => Held::Calls,
-            (0, false, _) => Held::Answers,
-            (0, true, 1..) => Held::Connections,
-            (0, true, 0) => Held::Nothing,
+    /// The most important work that a stopping process still has. `closing`: connections that wait for the caller to
+    /// close.
+    fn outstanding(&self, closing: usize) -> Outstanding {
+        let all_read = self.client_connections.all_written()
+            && self.iax2_front.all_acked()
+            && self.iax2_servers.all_acked();
+        match (self.core.pending_calls(), all_read, self.client_connections.len() + closing) {
+            (1.., ..) => Outstanding::Calls,
+            (0, false, _) => Outstanding::Answers,
+            (0, true, 1..) => Outstanding::Connections,
+            (0, true, 0) => Outstanding::Nothing,
         }
     }
 }
 
 impl Instance {
-    /// Answers operators for good.
-    pub(super) async fn hear_operators(self, listener: Rc<TcpListener>, most: usize) {
-        console::serve(listener, most, move |call| self.execute(call)).await;
+    /// Serves the operators' console; never returns.
+    pub(super) async fn serve_console(self, listener: Rc<TcpListener>, most: usize) {
+        console::serve(listener, most, move |command| self.execute(command)).await;
     }
 
-    /// Does what an operator calls for.
-    pub fn execute(&self, call: ConsoleCommand) -> ConsoleReply {
-        match call {
+    /// Executes an operator's command.
+    pub fn execute(&self, command: ConsoleCommand) -> ConsoleReply {
+        match command {
             ConsoleCommand::Ping if self.ready() => ConsoleReply::Success("serving", None),
-            ConsoleCommand::Ping => ConsoleReply::Failure("no list of call servers is held yet".to_owned()),
+            ConsoleCommand::Ping => ConsoleReply::Failure("no list of call servers received yet".to_owned()),
             ConsoleCommand::Info => ConsoleReply::Success("figures follow", Some(self.metrics_text())),
             ConsoleCommand::Lameduck => {
                 self.lameduck();
@@ -47,64 +50,68 @@
         }
     }
 
-    /// Sends callers away: tests fail from now on, what was taken is answered, connections end.
+    /// Drains the controller: health checks fail from now on, accepted set-ups are answered, and connections end.
     pub fn lameduck(&self) {
         self.drain(|drain, now| drain.lameduck(now));
     }
 
-    /// Back to work, also in the midst of a drain.
-    pub fn rejoin(&self) -> Result<(), AboutToEnd> {
-        let mut told = Ok(());
-        self.drain(|drain, _| told = drain.rejoin());
-        told
+    /// Resumes normal work, also during a drain.
+    pub fn rejoin(&self) -> Result<(), ProcessEnding> {
+        let mut result = Ok(());
+        self.drain(|drain, _| result = drain.rejoin());
+        result
     }
 
-    /// The same as `lameduck`, but the process is to end and cannot be brought back.
+    /// Like `lameduck`, but the process ends afterwards and the drain cannot be revoked.
     pub fn begin_stop(&self) {
-        self.drain(|drain, now| drain.end(now));
+        self.drain(|drain, now| drain.begin_stop(now));
     }
 
     fn drain(&self, step: impl FnOnce(&mut Drain, Time)) {
         let now = self.0.clock.now();
-        self.turn(|state, todo| {
+        self.apply(|state, todo| {
             let before = state.drain;
             step(&mut state.drain, now);
             if state.drain == before {
                 return;
             }
-            state.core.refuse_set_ups_from(state.drain.refuses_from());
+            state.core.refuse_set_ups_from(state.drain.refuses_set_ups_from());
             todo.dues.extend(
-                state.guests.numbers().into_iter().map(|no| (now, DeadlineOwner::ClientConnections, no)),
+                state
+                    .client_connections
+                    .numbers()
+                    .into_iter()
+                    .map(|no| (now, DeadlineOwner::ClientConnections, no)),
             );
         });
     }
 
-    /// Where it stands: at work, or sending callers away.
+    /// Whether the controller works or drains.
     pub fn phase(&self) -> Phase {
         self.0.state.borrow().drain.phase()
     }
 
-    /// Whether it was asked to stop.
+    /// Whether the controller was asked to stop.
     pub fn stopping(&self) -> bool {
         matches!(self.phase(), Phase::Draining { stopping: true, .. })
     }
 
-    fn held(&self) -> Held {
-        self.0.state.borrow().held(self.0.parting.get())
+    fn outstanding(&self) -> Outstanding {
+        self.0.state.borrow().outstanding(self.0.closing_connections.get())
     }
 
-    /// Whether all that was taken is answered, and no caller is connected.
+    /// Whether all accepted set-ups are answered and no caller is connected.
     pub fn is_drained(&self) -> bool {
-        self.held() == Held::Nothing
+        self.outstanding() == Outstanding::Nothing
     }
 
-    /// Whether the process, told to end, may do so.
-    pub(super) fn may_leave(&self) -> bool {
-        let (held, state) = (self.held(), self.0.state.borrow());
-        state.drain.may_leave(held, state.core.max_caller_wait(), self.0.clock.now())
+    /// Whether a process that was asked to stop may end now.
+    pub(super) fn may_exit(&self) -> bool {
+        let (outstanding, state) = (self.outstanding(), self.0.state.borrow());
+        state.drain.may_exit(outstanding, state.core.max_caller_wait(), self.0.clock.now())
     }
 
-    /// The figures, one a line.
+    /// The controller's metrics, one per line.
     pub fn metrics_text(&self) -> String {
         let state = self.0.state.borrow();
         let mut text = metrics::format_metrics(state.core.metrics(), &self.gauges(&state));
@@ -118,18 +125,18 @@
                 &state.core.fleet_view(now),
             ));
         }
-        if let Some(keeper) = &state.keeper {
-            text.push_str(&keeper.lines());
+        if let Some(record_writer) = &state.record_writer {
+            text.push_str(&record_writer.metrics_text());
         }
         if let Some(replication) = &self.0.replication {
-            text.push_str(&replication.figures());
+            text.push_str(&replication.metrics_text());
         }
         text
     }
 
-    /// What is held, and what has left towards call servers.
+    /// Gauges of the core, and the number of set-ups sent to call servers.
     pub(super) fn gauges(&self, state: &State) -> Gauges {
-        let written = self.0.server_bytes.set_ups_left() + state.servers.counts.news;
+        let written = self.0.server_bytes.set_ups_left() + state.iax2_servers.counts.news;
         Gauges { upstream_requests: written, ..state.core.gauges(self.0.clock.now()) }
     }
 }
--- a/src/instance/outage_log.rs
+++ b/src/instance/outage_log.rs
@@ -1,4 +1,4 @@
-//! What fails around an instance, in the log: once, with how often, and when it is back.
+//! Log lines on outages of call servers and directories: the first failure, reminders with a count, and the recovery.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -6,30 +6,30 @@
 use crate::instance::Instance;
 use crate::outages::OutageEvent;
 
-/// What may fail: its kind, and where it is.
+/// A remote party that may fail: its kind and its address.
 pub(super) type Party = (&'static str, SocketAddr);
 
 impl Instance {
-    /// Something that is spoken to has failed.
-    pub(super) fn failed(&self, (party, at): Party, why: &dyn Display) {
-        let say = self.0.outages.borrow_mut().failed((party, at), self.0.clock.now());
+    /// Records a failure and logs it if it is the first of an outage or a reminder is due.
+    pub(super) fn report_failure(&self, (party, at): Party, why: &dyn Display) {
+        let event = self.0.outages.borrow_mut().failed((party, at), self.0.clock.now());
         let instance = self.name();
-        match say {
-            Some(OutageEvent::Started) => tracing::warn!(instance, party, %at, %why, "fails"),
+        match event {
+            Some(OutageEvent::Started) => tracing::warn!(instance, party, %at, %why, "failing"),
             Some(OutageEvent::Reminder(times, span)) => {
                 let seconds = span.secs().round();
-                tracing::warn!(instance, party, %at, %why, times, seconds, "still fails");
+                tracing::warn!(instance, party, %at, %why, times, seconds, "still failing");
             }
             Some(OutageEvent::Recovered(..)) | None => {}
         }
     }
 
-    /// The same works.
-    pub(super) fn works(&self, (party, at): Party) {
-        let say = self.0.outages.borrow_mut().recovered(&(party, at), self.0.clock.now());
-        if let Some(OutageEvent::Recovered(times, span)) = say {
+    /// Records a success and logs it if it ends an outage.
+    pub(super) fn report_recovery(&self, (party, at): Party) {
+        let event = self.0.outages.borrow_mut().recovered(&(party, at), self.0.clock.now());
+        if let Some(OutageEvent::Recovered(times, span)) = event {
             let seconds = (span.secs() * 10.0).round() / 10.0;
-            tracing::info!(instance = self.name(), party, %at, times, seconds, "is back");
+            tracing::info!(instance = self.name(), party, %at, times, seconds, "recovered");
         }
     }
 }
--- a/src/instance/persistence.rs
+++ b/src/instance/persistence.rs
@@ -1,5 +1,5 @@
-//! Writes down what a life after this one needs, and goes on from what the life before wrote. A thread of its own waits
-//! for the disk; what comes meanwhile is written and synced together.
+//! Writes the records from which a later process recovers, and recovers from those of the previous run. A separate
+//! thread waits for the disk; changes that arrive meanwhile are written and synced together.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,83 +14,89 @@
 use crate::recovery::records::{Change, Found};
 use crate::recovery::RecoveryConfig;
 
-/// Groups of changes that may wait for the disk. More: the disk hangs, and memory must not follow it.
-const MOST_WAITING: usize = 4_096;
+/// Groups of changes that may wait for the disk. More mean that the disk hangs; memory must not grow with them.
+const MAX_WAITING: usize = 4_096;
 
-/// Where records are kept.
+/// Location and timing of the record store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreConfig {
-    /// The file.
+    /// The store's file.
     pub file: PathBuf,
-    /// Changes are gathered for so long before they are synced. Longer: fewer syncs, and so much more is unknown after a
-    /// power loss.
+    /// Time for which changes are collected before they are synced. A longer time saves syncs, but that many more
+    /// changes are lost in a power failure.
     pub commit_delay: Duration,
 }
 
-/// What the thread tells.
+/// Counters of the writer thread.
 #[derive(Debug, Default)]
-struct Told {
+struct WriterCounters {
     batches: AtomicU64,
     changes: AtomicU64,
     failed: AtomicBool,
 }
 
-/// The thread that writes.
+/// Handle on the writer thread.
 #[derive(Debug)]
 pub(super) struct RecordWriter {
     changes: Option<SyncSender<Vec<Change>>>,
-    writing: Option<JoinHandle<()>>,
-    told: Arc<Told>,
-    found: Option<Found>,
+    thread: Option<JoinHandle<()>>,
+    counters: Arc<WriterCounters>,
+    recovered: Option<Found>,
 }
 
 impl RecordWriter {
-    /// Opens the records of the life before.
+    /// Opens the store, reads the records of the previous run and starts the writer thread.
     pub(super) fn open(config: &StoreConfig) -> Result<RecordWriter, StoreError> {
         let store = Store::open(&config.file)?;
         let items = store.scan(b"")?;
-        let found = Found::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice())));
-        let (changes, waiting) = sync_channel(MOST_WAITING);
-        let told = Arc::new(Told::default());
-        let (file, commit_delay, tells) = (config.file.clone(), config.commit_delay, told.clone());
-        let writing = std::thread::Builder::new()
+        let recovered = Found::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice())));
+        let (changes, queued) = sync_channel(MAX_WAITING);
+        let counters = Arc::new(WriterCounters::default());
+        let (file, commit_delay, thread_counters) =
+            (config.file.clone(), config.commit_delay, counters.clone());
+        let thread = std::thread::Builder::new()
             .name("store".to_owned())
-            .spawn(move || write(store, &file, commit_delay, &waiting, &tells))
-            .map_err(|error| StoreError::Storage(format!("no thread to write with: {error}")))?;
-        Ok(RecordWriter { changes: Some(changes), writing: Some(writing), told, found: Some(found) })
+            .spawn(move || write(store, &file, commit_delay, &queued, &thread_counters))
+            .map_err(|error| StoreError::Storage(format!("cannot start the writer thread: {error}")))?;
+        Ok(RecordWriter {
+            changes: Some(changes),
+            thread: Some(thread),
+            counters,
+            recovered: Some(recovered),
+        })
     }
 
     fn write(&mut self, changes: Vec<Change>) {
         let Some(sender) = &self.changes else { return };
         if sender.try_send(changes).is_err() {
-            // The thread has ended, and said why; or the disk hangs.
+            // Either the thread has ended and logged the reason, or the disk hangs.
             self.changes = None;
-            if !self.told.failed.swap(true, Ordering::Relaxed) {
+            if !self.counters.failed.swap(true, Ordering::Relaxed) {
                 tracing::error!(
-                    "store: the disk does not keep up: nothing more is kept until the next start"
+                    "store: the disk does not keep up; no more records are written until the next start"
                 );
             }
         }
     }
 
-    /// Figures, one a line.
-    pub(super) fn lines(&self) -> String {
-        let (batches, changes) = (&self.told.batches, &self.told.changes);
+    /// Metrics, one per line.
+    pub(super) fn metrics_text(&self) -> String {
+        let (batches, changes) = (&self.counters.batches, &self.counters.changes);
         format!(
             "controller.store.batches:{}|c\ncontroller.store.changes:{}|c\ncontroller.store.failed:{}|g\n",
             batches.load(Ordering::Relaxed),
             changes.load(Ordering::Relaxed),
-            u8::from(self.told.failed.load(Ordering::Relaxed))
+            u8::from(self.counters.failed.load(Ordering::Relaxed))
         )
     }
 }
 
 impl Drop for RecordWriter {
-    /// What was handed over is written before the process ends.
+    /// Waits until all changes passed to the thread are written.
     fn drop(&mut self) {
         self.changes = None;
-        if let Some(writing) = self.writing.take() {
-            let _ = writing.join();
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
         }
     }
 }
@@ -99,16 +105,16 @@
     mut store: Store,
     file: &Path,
     commit_delay: Duration,
-    waiting: &Receiver<Vec<Change>>,
-    told: &Told,
+    queued: &Receiver<Vec<Change>>,
+    counters: &WriterCounters,
 ) {
-    while let Ok(first) = waiting.recv() {
+    while let Ok(first) = queued.recv() {
         if commit_delay > Duration::ZERO {
             std::thread::sleep(commit_delay);
         }
         let mut batch = Batch::default();
         let mut put = |changes: Vec<Change>| {
-            told.changes.fetch_add(changes.len() as u64, Ordering::Relaxed);
+            counters.changes.fetch_add(changes.len() as u64, Ordering::Relaxed);
             for (key, value) in changes.iter().map(Change::encoded) {
                 match value {
                     Some(value) => batch.put(&key, &value),
@@ -117,40 +123,47 @@
             }
         };
         put(first);
-        waiting.try_iter().for_each(&mut put);
+        queued.try_iter().for_each(&mut put);
         if let Err(error) = store.commit(&batch, Durability::Synced) {
-            // Not tried again: nobody knows what of it is kept. The next start reads what is.
-            told.failed.store(true, Ordering::Relaxed);
-            tracing::error!(file = %file.display(), %error, "nothing more is kept until the next start");
+            // No retry: it is unknown how much of the batch was written. The next start reads what is there.
+            counters.failed.store(true, Ordering::Relaxed);
+            tracing::error!(
+                file = %file.display(), %error,
+                "cannot write the store; no more records are written until the next start"
+            );
             return;
         }
-        told.batches.fetch_add(1, Ordering::Relaxed);
+        counters.batches.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 impl State {
-    /// Hands over what is to be kept.
-    pub(super) fn keep(&mut self) {
-        let Some(keeper) = &mut self.keeper else { return };
+    /// Passes new changes to the writer thread.
+    pub(super) fn persist_changes(&mut self) {
+        let Some(record_writer) = &mut self.record_writer else { return };
         let changes = self.core.take_changes();
         if !changes.is_empty() {
-            keeper.write(changes);
+            record_writer.write(changes);
         }
     }
 }
 
 impl Instance {
-    /// Goes on from the records of the life before, if any are kept.
+    /// Recovers from the records of the previous run, if a store is configured.
     pub(super) fn recover(&self) {
         let now = self.0.clock.now();
-        self.turn(|state, todo| {
-            let Some(found) = state.keeper.as_mut().and_then(|keeper| keeper.found.take()) else { return };
+        self.apply(|state, todo| {
+            let Some(recovered) =
+                state.record_writer.as_mut().and_then(|record_writer| record_writer.recovered.take())
+            else {
+                return;
+            };
             let release = state.core.resend_delay();
             let config = RecoveryConfig { release, ..RecoveryConfig::default() };
             let mut effects = Vec::new();
             state.core.record_changes();
-            state.core.recover(now, config, &found, &mut effects);
-            state.carry_out(effects, now, todo);
+            state.core.recover(now, config, &recovered, &mut effects);
+            state.apply_effects(effects, now, todo);
         });
     }
 }
--- a/src/instance/reload.rs
+++ b/src/instance/reload.rs
@@ -1,58 +1,58 @@
-//! A new configuration for a controller at work: what can change does so at once, no call and no count is lost.
+//! Reload of a running controller's configuration: what can change does so at once, with no call and no counter lost.
 
 use std::time::Duration;
 
 use crate::config::InstanceConfig;
 use crate::directory::bulletin::Page;
-use crate::instance::directories::Followed;
+use crate::instance::directories::DirectoryConfig;
 use crate::instance::startup::random;
 use crate::instance::{Instance, State};
 use crate::interface::{Span, Time};
 use crate::upstream::Todo;
 
 impl State {
-    /// Registers at the registrars of a configuration.
+    /// Registers at the configuration's IAX2 registrars.
     pub(super) fn register(&mut self, config: &InstanceConfig, now: Time, todo: &mut Todo) {
         let at = config.iax2.as_ref().map(|iax2| iax2.register.as_slice()).unwrap_or_default();
-        self.callers.register_at(config.secrets.account.as_ref(), at, now, todo);
+        self.iax2_front.register_at(config.secrets.account.as_ref(), at, now, todo);
     }
 }
 
 impl Instance {
-    /// Takes over a configuration that was read anew, with the replicated settings laid over it. Returns the keys that
-    /// only a restart can change and that stay as they were.
+    /// Applies a reloaded configuration, overlaid with the replicated settings. Returns the changed keys that only a
+    /// restart can apply; they stay as they were.
     pub fn reload(&self, config: InstanceConfig) -> Vec<&'static str> {
         if self.0.replication.is_none() {
-            return self.take_over(config);
+            return self.apply_config(config);
         }
-        let in_force = self.lay_over(config.clone());
-        let kept = self.take_over(in_force);
-        self.file_taken_over(config, &kept);
-        kept
+        let in_force = self.with_replicated_settings(config.clone());
+        let unchanged = self.apply_config(in_force);
+        self.file_applied(config, &unchanged);
+        unchanged
     }
 
-    /// Takes over a configuration: the bulletin and DNS-SD to follow, what is known, peers, limits
-    /// and settings. Returns the keys that only a restart can change and that stay as they were.
-    pub(super) fn take_over(&self, mut config: InstanceConfig) -> Vec<&'static str> {
-        let mut kept = Vec::new();
+    /// Applies a configuration: the directories to follow, the known list, peers, limits and settings. Returns the
+    /// changed keys that only a restart can apply; they stay as they were.
+    pub(super) fn apply_config(&self, mut config: InstanceConfig) -> Vec<&'static str> {
+        let mut unchanged = Vec::new();
         {
             let mut state = self.0.state.borrow_mut();
-            let running = &self.0.bound_to;
-            // Call servers and calls know their zones and classes by their places: new ones may follow, no other may take
-            // a place.
-            let zones = config.zones.starts_with(&self.0.followed.borrow().zones);
+            let running = &self.0.fixed_config;
+            // Call servers and calls refer to zones and classes by index: new ones may be appended, but no index may
+            // get another meaning.
+            let zones = config.zones.starts_with(&self.0.directories.borrow().zones);
             let classes = config.core.classes == state.core.classes();
             if !(zones && classes && state.core.reconfigure(config.core.clone())) {
-                // Settings stay or go as a whole. Guards against calls served by the classes of one file and the zones,
-                // times and limits of another: what goes with the settings stays with them.
-                config.zones = self.0.followed.borrow().zones.clone();
-                config.usual_left = state.callers.usual_left();
-                config.known = Page::default(); // read by the zones of the other file; the bulletin tells it too
+                // Settings change as a whole or not at all. Guards against calls served by the classes of one file
+                // and the zones, times and limits of another: values that belong to the settings stay with them.
+                config.zones = self.0.directories.borrow().zones.clone();
+                config.usual_left = state.iax2_front.usual_left();
+                config.known = Page::default(); // read with the other file's zones; the bulletin provides it too
                 config.connect_timeout = span_of(self.0.connect_timeout.get());
             }
             let fleet = state.core.fleet_config_matches(config.core.fleet.as_ref());
             if !fleet {
-                config.peers = state.peers.clone(); // they go by the numbers that the others know them by
+                config.peers = state.peers.clone(); // their order defines the numbers that peers use
             }
             let checks = [
                 ("name", running.name == config.name),
@@ -70,45 +70,45 @@
                 ("settings.zones", zones),
                 ("settings.classes", classes),
             ];
-            kept.extend(checks.into_iter().filter(|(_, same)| !same).map(|(key, _)| key));
+            unchanged.extend(checks.into_iter().filter(|(_, same)| !same).map(|(key, _)| key));
             state.peers = config.peers.clone();
             let iax2 = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds));
             let (tokens, bounds) = iax2.unwrap_or_default();
-            state.callers.reconfigure(config.usual_left, &config.zones, tokens, bounds);
-            state.servers.introduce(config.secrets.account.as_ref());
+            state.iax2_front.reconfigure(config.usual_left, &config.zones, tokens, bounds);
+            state.iax2_servers.introduce(config.secrets.account.as_ref());
             match random() {
-                Ok(key) => state.callers.examine(config.secrets.users.as_ref(), key),
-                Err(error) => tracing::error!(%error, "users stay as they were"),
+                Ok(key) => state.iax2_front.examine(config.secrets.users.as_ref(), key),
+                Err(error) => tracing::error!(%error, "cannot load the IAX2 users; the previous ones stay"),
             }
-            state.share_descriptors(config.limits);
+            state.limit_client_connections(config.limits);
             state.sip.set_most_links(config.limits.links());
-            state.tally.reloads += 1;
+            state.counters.reloads += 1;
         }
         self.0.limits.set(config.limits);
         self.0.connect_timeout.set(Duration::from_micros(config.connect_timeout.0));
         let now = self.0.clock.now();
-        self.turn(|state, todo| {
-            state.callers.expire(now, todo);
+        self.apply(|state, todo| {
+            state.iax2_front.expire(now, todo);
             state.register(&config, now, todo);
         });
         self.0.pool.set_most(config.limits.buffers());
         self.0.caller_bytes.set_most(config.limits.eighth());
         self.0.server_bytes.set_most(config.limits.eighth());
-        // News that the file holds beyond what was told so far comes first: the numbers carry on.
+        // Events of the file after the last one taken come first: the bulletin continues their numbers.
         let known = config.known.clone();
-        let _ = self.page(known); // what of it cannot be read, the bulletin is asked for
-        self.0.followed.send_if_modified(|followed| {
-            let next = Followed::of(&config);
-            let changed = *followed != next;
-            *followed = next;
+        let _ = self.take_bulletin_page(known); // unreadable events are requested from the bulletin later
+        self.0.directories.send_if_modified(|directories| {
+            let next = DirectoryConfig::of(&config);
+            let changed = *directories != next;
+            *directories = next;
             changed
         });
-        kept
+        unchanged
     }
 
-    /// A configuration that was read anew and cannot be used: the old one stays.
+    /// Counts a reload that failed because the new configuration cannot be used; the old one stays.
     pub fn reload_failed(&self) {
-        self.0.state.borrow_mut().tally.reload_failures += 1;
+        self.0.state.borrow_mut().counters.reload_failures += 1;
     }
 }
 
--- a/src/instance/replication.rs
+++ b/src/instance/replication.rs
@@ -1,5 +1,5 @@
-//! Replicated configuration and membership of a controller at work: its socket, its timer, and the settings that it lays
-//! over those of the file.
+//! Replicated configuration and membership of a running controller: socket, timer, and the settings overlaid on those
+//! of the file.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,24 +17,24 @@
 use crate::interface::Time;
 use crate::replication::{Dot, Event, ProposeError, Replica, ReplicaConfig, MAX_DATAGRAM, MEMBER_PREFIX};
 
-/// The shortest time between two polls that nothing else causes.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
+/// The shortest time between two polls caused by the timer alone.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
 /// The longest time between two polls.
-const LONGEST_SLEEP: Duration = Duration::from_secs(60);
+const MAX_SLEEP: Duration = Duration::from_secs(60);
 /// The pause after a socket error.
 const ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// Replication of one controller.
+/// Replication state of one controller.
 pub(super) struct Replication {
     replica: RefCell<Replica>,
-    /// `None`: it has left.
+    /// `None`: the controller has left.
     socket: RefCell<Option<Rc<UdpSocket>>>,
     overlay: Rc<RefCell<Overlay>>,
     service: String,
     seeds: Vec<SocketAddr>,
-    /// Why current values of keys are not in force here.
+    /// Why the current values of keys are not in force here.
     reasons: RefCell<BTreeMap<String, String>>,
-    /// Something is to be sent.
+    /// Notified when something is to be sent.
     rearm: Notify,
     failed_sends: Cell<u64>,
 }
@@ -62,12 +62,12 @@
         }
     }
 
-    /// The figures, one a line.
-    pub(super) fn figures(&self) -> String {
+    /// Replication metrics, one per line.
+    pub(super) fn metrics_text(&self) -> String {
         let replica = self.replica.borrow();
         let counts = replica.counts();
         let entries = replica.values("").count() as u64;
-        let figures = [
+        let metrics = [
             ("members", replica.members().count() as u64, 'g'),
             ("entries", entries, 'g'),
             ("sent", counts.sent, 'c'),
@@ -83,13 +83,13 @@
             ("rejected", replica.rejected_keys().count() as u64, 'g'),
         ];
         let mut text = String::new();
-        for (name, value, kind) in figures {
+        for (name, value, kind) in metrics {
             let _ = writeln!(text, "controller.replication.{name}:{value}|{kind}");
         }
         text
     }
 
-    /// Sends datagrams without waiting: what is lost comes by a later comparison.
+    /// Sends datagrams without waiting; lost ones are made up for by a later anti-entropy comparison.
     fn send(&self, datagrams: Vec<(SocketAddr, Vec<u8>)>) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         for (to, bytes) in datagrams {
@@ -105,7 +105,7 @@
         self.send(datagrams);
     }
 
-    /// Logs what happened; whether a setting has another value in force.
+    /// Logs the replica's events. Returns whether a setting in force has changed.
     fn take_events(&self, instance: &str) -> bool {
         let events = self.replica.borrow_mut().take_events();
         let mut changed = false;
@@ -119,34 +119,36 @@
         match event {
             Event::InForce { key } => {
                 self.reasons.borrow_mut().remove(&key);
-                tracing::info!(instance, key, "replication: in force");
+                tracing::info!(instance, key, "replication: value in force");
                 return !key.starts_with(MEMBER_PREFIX);
             }
             Event::Rejected { key, why } => {
-                tracing::warn!(instance, key, why, "replication: not in force here");
-                self.keep_reason(key, why);
+                tracing::warn!(instance, key, why, "replication: value rejected here");
+                self.record_reason(key, why);
             }
             Event::Conflict { key, winner, loser } => {
                 let (winner, loser) = (winner.dot, loser.dot);
-                tracing::warn!(instance, key, ?winner, ?loser, "replication: changed on two sides at once");
+                tracing::warn!(instance, key, ?winner, ?loser, "replication: conflicting concurrent changes");
             }
             Event::MemberJoined { name } => tracing::info!(instance, name, "replication: member joined"),
             Event::MemberLeft { name } => tracing::info!(instance, name, "replication: member left"),
             Event::Joined => tracing::info!(instance, "replication: this controller has joined"),
-            Event::Removed => tracing::warn!(instance, "replication: removed; it joins again"),
+            Event::Removed => {
+                tracing::warn!(instance, "replication: this controller was removed; joining again")
+            }
             Event::Replaced => {
                 tracing::error!(
                     instance,
-                    "replication: another process has this name; no part is taken any more"
+                    "replication: another process uses this name; this controller no longer takes part"
                 );
             }
-            Event::CaughtUp => tracing::info!(instance, "replication: caught up with the others"),
+            Event::CaughtUp => tracing::info!(instance, "replication: caught up with the other members"),
         }
         false
     }
 
-    /// Keeps why a key is not in force, for as long as it is not.
-    fn keep_reason(&self, key: String, why: String) {
+    /// Records why a key's value is not in force, for as long as it is rejected.
+    fn record_reason(&self, key: String, why: String) {
         let replica = self.replica.borrow();
         let rejected: Vec<&str> = replica.rejected_keys().collect();
         let mut reasons = self.reasons.borrow_mut();
@@ -154,27 +156,27 @@
         reasons.retain(|key, _| rejected.contains(&key.as_str()));
     }
 
-    /// The configuration in force: the file's with the replicated settings laid over.
+    /// The configuration in force: the file's, overlaid with the replicated settings.
     fn in_force(&self, instance: &str) -> InstanceConfig {
         let replica = self.replica.borrow();
         let own = format!("{SERVICE_PREFIX}{}/", self.service);
         let values = replica.values(ALL_PREFIX).chain(replica.values(&own));
         let (config, left_out) = self.overlay.borrow().in_force(values);
         for error in left_out {
-            tracing::warn!(instance, %error, "replication: does not fit the file; left out");
+            tracing::warn!(instance, %error, "replication: setting does not fit the file; ignored");
         }
         config
     }
 }
 
-/// What an operator asks of a replica.
+/// Operators' access to the replica.
 impl Instance {
-    /// Whether it takes part in replicated configuration.
+    /// Whether this controller takes part in replicated configuration.
     pub fn replicates(&self) -> bool {
         self.0.replication.is_some()
     }
 
-    /// Changes or, without a value, deletes a key; the error names the seeds where this controller is no source.
+    /// Changes a key or, without a value, deletes it. The error names the seeds if this controller is not a source.
     pub(crate) fn propose(&self, key: &str, value: Option<&[u8]>) -> Result<Dot, String> {
         let replication = self.0.replication.as_ref().ok_or("no [instance.replication] in its file")?;
         let now = self.0.clock.now();
@@ -189,19 +191,19 @@
         })
     }
 
-    /// Looks at the replica, and at why keys are not in force.
+    /// Gives read access to the replica and to the reasons why keys are not in force.
     pub(crate) fn replica<R>(
         &self,
-        look: impl FnOnce(&Replica, &BTreeMap<String, String>) -> R,
+        read: impl FnOnce(&Replica, &BTreeMap<String, String>) -> R,
     ) -> Option<R> {
         let replication = self.0.replication.as_ref()?;
-        let looked = look(&replication.replica.borrow(), &replication.reasons.borrow());
-        Some(looked)
+        let result = read(&replication.replica.borrow(), &replication.reasons.borrow());
+        Some(result)
     }
 }
 
 impl Instance {
-    /// Receives and sends for good.
+    /// Receives and sends datagrams; never returns.
     pub(super) async fn replicate(self) {
         let Some(replication) = &self.0.replication else { return };
         let Some(socket) = replication.socket.borrow().clone() else { return };
@@ -210,11 +212,11 @@
             let due = self.sleep_until(replication.replica.borrow().next_due());
             tokio::select! {
                 received = socket.recv_from(&mut bytes) => match received {
-                    Ok((length, from)) => self.replication_turn(Some((from, &bytes[..length]))),
+                    Ok((length, from)) => self.replication_iteration(Some((from, &bytes[..length]))),
                     Err(_) => tokio::time::sleep(ERROR_PAUSE).await,
                 },
-                _ = replication.rearm.notified() => self.replication_turn(None),
-                _ = tokio::time::sleep_until(due) => self.replication_turn(None),
+                _ = replication.rearm.notified() => self.replication_iteration(None),
+                _ = tokio::time::sleep_until(due) => self.replication_iteration(None),
             }
         }
     }
@@ -222,39 +224,43 @@
     fn sleep_until(&self, due: Time) -> tokio::time::Instant {
         let now = tokio::time::Instant::now();
         let wait = Duration::from_micros(due.0.saturating_sub(self.0.clock.now().0));
-        now + wait.clamp(SHORTEST_SLEEP, LONGEST_SLEEP)
+        now + wait.clamp(MIN_SLEEP, MAX_SLEEP)
     }
 
-    /// One datagram or deadline; a panic costs what caused it alone, and is counted.
-    fn replication_turn(&self, datagram: Option<(SocketAddr, &[u8])>) {
-        let turn = std::panic::AssertUnwindSafe(|| self.take_replication_turn(datagram));
-        if std::panic::catch_unwind(turn).is_err() {
+    /// Handles one datagram or deadline. A panic is counted and does not end the task.
+    fn replication_iteration(&self, datagram: Option<(SocketAddr, &[u8])>) {
+        let iteration = std::panic::AssertUnwindSafe(|| self.take_replication_iteration(datagram));
+        if std::panic::catch_unwind(iteration).is_err() {
             self.0.panics.set(self.0.panics.get() + 1);
         }
     }
 
-    fn take_replication_turn(&self, datagram: Option<(SocketAddr, &[u8])>) {
+    fn take_replication_iteration(&self, datagram: Option<(SocketAddr, &[u8])>) {
         let Some(replication) = &self.0.replication else { return };
         let now = self.0.clock.now();
         if let Some((from, bytes)) = datagram {
-            // What cannot be taken is counted by the replica.
+            // The replica counts invalid datagrams.
             let _ = replication.replica.borrow_mut().receive(now, from, bytes);
         }
         replication.poll(now);
         if replication.take_events(self.name()) {
             let config = replication.in_force(self.name());
-            self.log_kept(&self.take_over(config));
+            self.log_unchanged(&self.apply_config(config));
         }
     }
 
-    fn log_kept(&self, kept: &[&'static str]) {
-        if !kept.is_empty() {
-            tracing::warn!(instance = self.name(), keys = kept.join(", "), "only a restart can change these");
+    fn log_unchanged(&self, unchanged: &[&'static str]) {
+        if !unchanged.is_empty() {
+            tracing::warn!(
+                instance = self.name(),
+                keys = unchanged.join(", "),
+                "only a restart can change these"
+            );
         }
     }
 
-    /// The replicated settings laid over a file that was read anew.
-    pub(super) fn lay_over(&self, file: InstanceConfig) -> InstanceConfig {
+    /// A reloaded file's configuration, overlaid with the replicated settings.
+    pub(super) fn with_replicated_settings(&self, file: InstanceConfig) -> InstanceConfig {
         let Some(replication) = &self.0.replication else { return file };
         let before = replication.overlay.borrow().file().clone();
         replication.overlay.borrow_mut().set_file(file);
@@ -263,22 +269,26 @@
         config
     }
 
-    /// A file was taken over: later changes are laid over it. Settings that were kept stay the ones below.
-    pub(super) fn file_taken_over(&self, file: InstanceConfig, kept: &[&'static str]) {
+    /// Makes an applied file the base of later overlays, with the former settings if those were left unchanged.
+    pub(super) fn file_applied(&self, file: InstanceConfig, unchanged: &[&'static str]) {
         let Some(replication) = &self.0.replication else { return };
         let mut overlay = replication.overlay.borrow_mut();
-        let settings_stayed = kept.iter().any(|key| key.starts_with("settings."));
+        let settings_stayed = unchanged.iter().any(|key| key.starts_with("settings."));
         let settings = if settings_stayed { overlay.file().settings.clone() } else { file.settings.clone() };
         match file.with_settings(settings) {
             Ok(file) => overlay.set_file(file),
             Err((key, why)) => {
-                tracing::error!(key, why, "the settings before stay below the replicated ones")
+                tracing::error!(
+                    key,
+                    why,
+                    "file does not fit the running settings; former base of the replicated settings stays"
+                )
             }
         }
     }
 
-    /// Says good-bye to the other members and closes the socket.
-    pub(super) fn leave_replication(&self) {
+    /// Announces this member's leave and closes the socket.
+    pub(super) fn stop_replication(&self) {
         let Some(replication) = &self.0.replication else { return };
         let mut datagrams = Vec::new();
         replication.replica.borrow_mut().leave(self.0.clock.now(), &mut datagrams);
@@ -287,7 +297,7 @@
     }
 }
 
-/// Higher in each life of a process: seconds since 1970.
+/// Number of this process incarnation, higher in each later one: seconds since 1970.
 fn incarnation() -> u32 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u32::try_from(since.as_secs()).unwrap_or(u32::MAX)
--- a/src/instance/startup.rs
+++ b/src/instance/startup.rs
@@ -1,4 +1,4 @@
-//! Opening a controller: its sockets are bound or inherited before it takes anything.
+//! Start of a controller: its sockets are bound or inherited before it accepts anything.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -17,10 +17,10 @@
 use crate::drain::Drain;
 use crate::front::iax2::door::Door;
 use crate::front::iax2::{Callers, Usual};
-use crate::instance::handover::{Doors, Predecessor, Unfinished};
+use crate::instance::handover::{Listeners, PendingConnections, Predecessor};
 use crate::instance::persistence::RecordWriter;
 use crate::instance::replication::Replication;
-use crate::instance::{BoundTo, Clock, Followed, Instance, LocalCounters, Shared, State};
+use crate::instance::{Clock, DirectoryConfig, FixedConfig, Instance, LocalCounters, Shared, State};
 use crate::net::guests::Guests;
 use crate::net::pool::Pool;
 use crate::net::queue::Budget;
@@ -28,81 +28,88 @@
 use crate::upstream::iax2::Servers;
 use crate::upstream::sip::Trunks;
 
-/// A controller that cannot start.
+/// Why a controller cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address cannot be listened at.
+    /// An address cannot be bound.
     #[error("cannot listen at {address} ({key}): {why}")]
     Listen {
-        /// Which key of the configuration.
+        /// The key of the configuration.
         key: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The error.
         why: io::Error,
     },
-    /// The records cannot be opened.
+    /// The record store cannot be opened.
     #[error("store.file {}: {why}", file.display())]
     Store {
-        /// Which.
+        /// The store's file.
         file: std::path::PathBuf,
-        /// Why.
+        /// The error.
         why: lockpoint_store::StoreError,
     },
-    /// The system gives no random bytes.
+    /// The system provides no random bytes.
     #[error("no random bytes for call tokens and challenges: {0}")]
     Random(String),
-    /// The inherited descriptor is no listening socket.
-    #[error("cannot take descriptor {descriptor} (ROUTER_FD): {why}")]
+    /// The inherited descriptor is not a listening socket.
+    #[error("cannot listen on descriptor {descriptor} (ROUTER_FD): {why}")]
     Inherited {
-        /// Which.
+        /// The descriptor.
         descriptor: i32,
-        /// Why.
+        /// The error.
         why: io::Error,
     },
 }
 
-/// The sockets of a controller that is ready to run.
+/// A controller with its sockets open, ready to run.
 pub struct BoundInstance {
     instance: Instance,
     config: InstanceConfig,
-    doors: Doors,
-    left: Unfinished,
+    listeners: Listeners,
+    pending: PendingConnections,
 }
 
 impl BoundInstance {
-    /// Opens what the controller listens at.
+    /// Opens the sockets on which the controller listens.
     pub async fn open(config: InstanceConfig) -> Result<BoundInstance, StartError> {
         BoundInstance::open_with_predecessor(Predecessor::none(), config).await
     }
 
-    /// The same beside a predecessor, whose place it takes once all else is there. Guards against callers left without
-    /// a controller by a successor that could not serve.
+    /// Opens a controller that takes over from a running predecessor, once everything else is ready. Guards against
+    /// callers left without a controller by a successor that cannot serve.
     pub async fn open_with_predecessor(
-        mut before: Predecessor,
+        mut predecessor: Predecessor,
         config: InstanceConfig,
     ) -> Result<BoundInstance, StartError> {
-        let somebody = before.somebody();
-        // An address that the predecessor holds comes along with all the rest.
-        let unless_held = |error: &io::Error| somebody && error.kind() == io::ErrorKind::AddrInUse;
+        let has_predecessor = predecessor.is_running();
+        // Sockets on addresses that the predecessor uses come with its state.
+        let in_use_by_predecessor =
+            |error: &io::Error| has_predecessor && error.kind() == io::ErrorKind::AddrInUse;
         let fail = |key, address| move |why| StartError::Listen { key, address, why };
         let listener = match (config.inherited, config.listen) {
             (Some(descriptor), _) => {
-                let taken = takeover::inherited(descriptor).and_then(TcpListener::from_std);
+                let taken = takeover::inherited_listener(descriptor).and_then(TcpListener::from_std);
                 Some(taken.map_err(|why| StartError::Inherited { descriptor, why })?)
             }
-            (None, Some(address)) => opened(listen(address), unless_held).map_err(fail("listen", address))?,
+            (None, Some(address)) => {
+                opened(listen(address), in_use_by_predecessor).map_err(fail("listen", address))?
+            }
             (None, None) => None,
         };
         let console = match config.console {
-            Some(address) => opened(listen(address), unless_held).map_err(fail("console", address))?,
+            Some(address) => {
+                opened(listen(address), in_use_by_predecessor).map_err(fail("console", address))?
+            }
             None => None,
         };
         let peer_socket = match config.peer_listen {
-            Some(at) => opened(UdpSocket::bind(at).await, unless_held).map_err(fail("peer_listen", at))?,
+            Some(at) => {
+                opened(UdpSocket::bind(at).await, in_use_by_predecessor).map_err(fail("peer_listen", at))?
+            }
             None => None,
         };
-        let (callers_socket, servers_socket) = match &config.iax2 {
+        let (iax2_front_socket, iax2_server_socket) = match &config.iax2 {
             Some(iax2) => {
                 let (listen, from) = (iax2.listen, iax2.from);
                 let callers = UdpSocket::bind(listen).await.map_err(fail("iax2.listen", listen))?;
@@ -119,12 +126,12 @@
             }
             None => None,
         };
-        let mut inherited = before.inherit(&config);
-        let mut given = inherited.as_mut();
-        let listener = listener.or_else(|| given.as_mut().and_then(|all| all.listener.take()));
-        let console = console.or_else(|| given.as_mut().and_then(|all| all.console.take()));
+        let mut inherited = predecessor.inherit(&config);
+        let mut inheritance = inherited.as_mut();
+        let listener = listener.or_else(|| inheritance.as_mut().and_then(|all| all.listener.take()));
+        let console = console.or_else(|| inheritance.as_mut().and_then(|all| all.console.take()));
         let peer_socket =
-            peer_socket.or_else(|| given.as_mut().and_then(|all| all.peers.take())).map(Rc::new);
+            peer_socket.or_else(|| inheritance.as_mut().and_then(|all| all.peers.take())).map(Rc::new);
         for (key, address, open) in
             [("listen", config.listen, listener.is_some()), ("console", config.console, console.is_some())]
         {
@@ -132,39 +139,39 @@
                 return Err(fail(key, address)(io::ErrorKind::AddrInUse.into()));
             }
         }
-        if somebody && inherited.is_none() {
-            before.ask_to_leave();
+        if has_predecessor && inherited.is_none() {
+            predecessor.ask_to_stop();
             if let Some(at) = config.peer_listen.filter(|_| peer_socket.is_none()) {
-                tracing::warn!(%at, "peers are not heard before the next start");
+                tracing::warn!(%at, "address in use by the predecessor: no peer messages until the next start");
             }
         }
-        let keeper = config.store.as_ref().map(|store| {
+        let record_writer = config.store.as_ref().map(|store| {
             RecordWriter::open(store).map_err(|why| StartError::Store { file: store.file.clone(), why })
         });
-        let keeper = keeper.transpose()?;
+        let record_writer = record_writer.transpose()?;
         let limits = config.limits;
         let (caller_bytes, server_bytes) = (Budget::new(limits.eighth()), Budget::new(limits.eighth()));
         let state = State {
             core: Core::new(config.core.clone()),
-            guests: Guests::new(limits.callers()),
+            client_connections: Guests::new(limits.callers()),
             next_client: 0,
             sip: Trunks::within(&server_bytes, limits.links()),
-            callers: callers_of(&config)?,
-            servers: servers_of(&config),
-            callers_socket,
-            servers_socket,
+            iax2_front: iax2_front(&config)?,
+            iax2_servers: iax2_servers(&config),
+            iax2_front_socket,
+            iax2_server_socket,
             peer_socket,
             peers: config.peers.clone(),
-            tally: LocalCounters::default(),
+            counters: LocalCounters::default(),
             drain: Drain::default(),
-            keeper,
-            lines: BTreeMap::new(),
+            record_writer,
+            connections: BTreeMap::new(),
         };
-        let clock = Clock::from(inherited.as_ref().map(|all| all.now()).unwrap_or_default());
+        let clock = Clock::not_before(inherited.as_ref().map(|all| all.now()).unwrap_or_default());
         let replication = replication
             .map(|(replicated, socket)| Replication::new(&config, replicated, socket, clock.now()));
         let shared = Shared {
-            bound_to: BoundTo {
+            fixed_config: FixedConfig {
                 name: config.name.clone(),
                 listen: config.listen,
                 console: config.console,
@@ -173,16 +180,16 @@
                 store: config.store.clone(),
                 replication: config.replication.clone(),
             },
-            followed: watch::Sender::new(Followed::of(&config)),
-            heard: RefCell::default(),
+            directories: watch::Sender::new(DirectoryConfig::of(&config)),
+            bulletin_cursor: RefCell::default(),
             clock,
             state: RefCell::new(state),
             rearm: Notify::new(),
-            leave: Notify::new(),
+            stop_requested: Notify::new(),
             panics: Cell::new(0),
             outages: RefCell::default(),
-            ended: Cell::new(false),
-            parting: Cell::new(0),
+            stopped: Cell::new(false),
+            closing_connections: Cell::new(0),
             limits: Cell::new(limits),
             pool: Pool::new(limits.buffers()),
             caller_bytes,
@@ -191,57 +198,60 @@
             replication,
         };
         let instance = Instance(Rc::new(shared));
-        let left = inherited.map(|all| instance.inherit(all, &config)).unwrap_or_default();
-        // From here on a successor may ask for what is held.
-        let heirs = before.place().and_then(|place| {
-            match takeover::wait_at(place).and_then(UnixListener::from_std) {
-                Ok(heirs) => {
-                    tracing::info!(place = %place.display(), "a successor may take over here");
-                    Some(heirs)
+        let pending = inherited.map(|all| instance.inherit(all, &config)).unwrap_or_default();
+        // From here on a successor may request this process's state.
+        let successors = predecessor.socket_path().and_then(|path| {
+            match takeover::listen_for_successor(path).and_then(UnixListener::from_std) {
+                Ok(successors) => {
+                    tracing::info!(place = %path.display(), "listening for a successor");
+                    Some(successors)
                 }
                 Err(error) => {
-                    tracing::warn!(place = %place.display(), %error, "no successor can take over");
+                    tracing::warn!(place = %path.display(), %error, "cannot listen for a successor");
                     None
                 }
             }
         });
-        let doors =
-            Doors { listener: RefCell::new(listener.map(Rc::new)), console: console.map(Rc::new), heirs };
-        Ok(BoundInstance { instance, config, doors, left })
+        let listeners = Listeners {
+            callers: RefCell::new(listener.map(Rc::new)),
+            console: console.map(Rc::new),
+            successors,
+        };
+        Ok(BoundInstance { instance, config, listeners, pending })
     }
 
-    /// A handle for whoever wants to look on.
+    /// A handle on the controller, valid before, during and after [`BoundInstance::run`].
     pub fn handle(&self) -> Instance {
         self.instance.clone()
     }
 
-    /// Where JSON-lines callers connect.
+    /// The address for JSON-lines callers.
     pub fn listens_at(&self) -> Option<SocketAddr> {
-        self.doors.listener.borrow().as_ref().and_then(|l| l.local_addr().ok())
+        self.listeners.callers.borrow().as_ref().and_then(|l| l.local_addr().ok())
     }
 
-    /// Where operators call.
+    /// The address of the operators' console.
     pub fn console_at(&self) -> Option<SocketAddr> {
-        self.doors.console.as_ref().and_then(|l| l.local_addr().ok())
+        self.listeners.console.as_ref().and_then(|l| l.local_addr().ok())
     }
 
-    /// Where IAX2 callers send to.
+    /// The address for IAX2 callers.
     pub fn iax2_at(&self) -> Option<SocketAddr> {
         let state = self.instance.0.state.borrow();
-        state.callers_socket.as_ref().and_then(|socket| socket.local_addr().ok())
+        state.iax2_front_socket.as_ref().and_then(|socket| socket.local_addr().ok())
     }
 
-    /// Serves until `stop`, then finishes what was taken.
+    /// Serves until `stop`, then finishes the accepted calls.
     pub async fn run(self, stop: impl std::future::Future<Output = ()>) -> Counters {
         let local = LocalSet::new();
-        let BoundInstance { instance, config, doors, left } = self;
-        local.run_until(instance.clone().serve(config, doors, left, stop)).await;
+        let BoundInstance { instance, config, listeners, pending } = self;
+        local.run_until(instance.clone().serve(config, listeners, pending, stop)).await;
         instance.counters()
     }
 }
 
-/// The IAX2 front, without a caller.
-fn callers_of(config: &InstanceConfig) -> Result<Callers, StartError> {
+/// The IAX2 front, with no callers yet.
+fn iax2_front(config: &InstanceConfig) -> Result<Callers, StartError> {
     let usual = Usual {
         class: config.core.classes.first().cloned().unwrap_or_else(|| "".into()),
         left: config.usual_left,
@@ -255,32 +265,32 @@
     Ok(callers)
 }
 
-/// The IAX2 call servers, none of them known yet.
-fn servers_of(config: &InstanceConfig) -> Servers {
+/// The IAX2 upstream, with no call servers yet.
+fn iax2_servers(config: &InstanceConfig) -> Servers {
     let mut servers = Servers::default();
     servers.introduce(config.secrets.account.as_ref());
     servers
 }
 
-/// Random bytes that nobody can guess.
+/// A key from the system's random source.
 pub(super) fn random() -> Result<[u8; 32], StartError> {
     let mut bytes = [0; 32];
     getrandom::fill(&mut bytes).map_err(|why| StartError::Random(why.to_string()))?;
     Ok(bytes)
 }
 
-/// What was opened; `None`: its place is held by the predecessor.
-fn opened<S>(tried: io::Result<S>, held: impl Fn(&io::Error) -> bool) -> io::Result<Option<S>> {
-    match tried {
+/// The opened socket; `None`: its address is in use by the predecessor.
+fn opened<S>(result: io::Result<S>, is_in_use: impl Fn(&io::Error) -> bool) -> io::Result<Option<S>> {
+    match result {
         Ok(socket) => Ok(Some(socket)),
-        Err(error) if held(&error) => Ok(None),
+        Err(error) if is_in_use(&error) => Ok(None),
         Err(error) => Err(error),
     }
 }
 
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A restart takes the address over from a process that has just gone.
+    // Lets a restarted process bind an address whose last connections are still in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(1024)
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,8 +1,8 @@
-//! Signals from the platform and the operator, heard through a pipe of our own.
+//! Signals from the platform and the operator, received through a pipe.
 //!
-//! The async runtime's own signal driver wakes itself through a Unix socket pair; the standing test of the fleet
-//! admits TCP and UDP only. Here the handler (`signal-hook`, async-signal-safe) writes one byte to the write end of
-//! an ordinary pipe, and the runtime waits on the read end like on any other descriptor.
+//! The async runtime's own signal driver wakes itself through a Unix socket pair, but the fleet's acceptance test
+//! allows TCP and UDP sockets only. Here the handler (`signal-hook`, async-signal-safe) writes one byte to the write
+//! end of a pipe, and the runtime waits for the read end like for any other descriptor.
 
 use std::io::{self, PipeReader, Read};
 
@@ -12,17 +12,17 @@
 pub const TERMINATE: i32 = signal_hook::consts::SIGTERM;
 /// SIGINT: an operator's Ctrl-C.
 pub const INTERRUPT: i32 = signal_hook::consts::SIGINT;
-/// SIGHUP: a new configuration.
+/// SIGHUP: reload the configuration.
 pub const HANG_UP: i32 = signal_hook::consts::SIGHUP;
 
-/// Any of some signals, from the moment of [`SignalListener::new`] on: from then on they no longer end the process.
+/// Receives a set of signals, which no longer end the process from [`SignalListener::new`] on.
 pub struct SignalListener {
     pipe: AsyncFd<PipeReader>,
 }
 
 impl SignalListener {
-    /// Catches these signals (numbers as in `signal(7)`). Errors: no pipe, or a signal that may not be caught
-    /// (SIGKILL, SIGSTOP); then the signals keep their usual effect.
+    /// Starts to receive these signals (numbers as in `signal(7)`). Fails if no pipe can be created or a signal
+    /// cannot be caught (SIGKILL, SIGSTOP); the signals then keep their usual effect.
     pub fn new(signals: &[i32]) -> io::Result<SignalListener> {
         let (reader, writer) = io::pipe()?;
         rustix::fs::fcntl_setfl(&reader, rustix::fs::OFlags::NONBLOCK)?;
@@ -37,14 +37,14 @@
         Ok(SignalListener { pipe })
     }
 
-    /// Waits for the next of them; several that came together count as one. Never returns if the pipe fails.
+    /// Waits for the next signal; several that came together count as one. Never returns if the pipe fails.
     pub async fn next(&mut self) {
         let mut bytes = [0u8; 64];
         loop {
             let Ok(mut ready) = self.pipe.readable().await else { return std::future::pending().await };
             match ready.try_io(|pipe| pipe.get_ref().read(&mut bytes)) {
                 Ok(Ok(read)) if read > 0 => {
-                    // What else came meanwhile is the same news.
+                    // Signals that came meanwhile are merged with this one.
                     while matches!(self.pipe.get_ref().read(&mut bytes), Ok(read) if read > 0) {}
                     return;
                 }
