--- a/src/takeover.rs
+++ b/src/takeover.rs
@@ -1,16 +1,18 @@
-//! Taking over: the listener that the platform holds, and the way on which one process hands all it holds to the next.
+//! Takeover between two processes: the listener inherited from the platform, and the channel on which a process hands
+//! its state and sockets to its successor.
 //!
-//! The predecessor listens at a Unix socket in `$TMPDIR`. Frames are a mark, a version, a kind and a length:
+//! The predecessor listens on a Unix socket in `$TMPDIR`. A frame consists of two magic bytes, the version, the kind,
+//! the length of the body, and the body:
 //!
 //! | from | frame | meaning |
 //! | --- | --- | --- |
-//! | successor | `Hello` | it could serve, and asks for what is held |
-//! | predecessor | `State`, then sockets | all of it; from here on the predecessor stands still |
-//! | predecessor | `No` | not to be had, and why; it works on |
-//! | successor | `Held` | it could read all of it |
-//! | predecessor | `Yours` | it has let go |
-//! | predecessor | `Keep` | the word came too late; it works on |
-//! | successor | `Leave` | it cannot use what is held: the predecessor is to finish what it took, and end |
+//! | successor | `Request` | it is able to serve and requests the state |
+//! | predecessor | `State`, then sockets | the whole state; the predecessor is blocked from here on |
+//! | predecessor | `Refusal` | no state, and the reason; the predecessor continues to serve |
+//! | successor | `Received` | it has read the whole state |
+//! | predecessor | `Released` | the state now belongs to the successor |
+//! | predecessor | `Cancel` | `Received` came too late; the predecessor continues to serve |
+//! | successor | `Stop` | it cannot use the state: the predecessor is to finish its accepted calls and end |
 
 use std::io::{self, IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -27,77 +29,78 @@
     SendAncillaryMessage, SendFlags,
 };
 
-/// Of the frames and of what is handed over. A process of another version takes nothing over.
+/// Version of the frames and of the state. There is no takeover between processes of different versions.
 const VERSION: u8 = 3;
-const MARK: [u8; 2] = *b"LP";
-/// The longest frame.
-const MOST_BYTES: usize = 16 << 20;
-/// Sockets that go together.
-const MOST_SOCKETS: usize = 64;
-/// Sockets that are taken in all.
-const MOST_IN_ALL: usize = 65_536;
-/// A frame must be whole, and be answered, within this by the predecessor's watch: it stands still meanwhile.
-const STANDS_STILL: Duration = Duration::from_millis(800);
-/// The successor waits for longer: it must not go on alone while the predecessor might still.
-const WAITS: Duration = Duration::from_secs(3);
+const MAGIC: [u8; 2] = *b"LP";
+/// The longest frame body.
+const MAX_FRAME_BYTES: usize = 16 << 20;
+/// Sockets sent with one message.
+const MAX_SOCKETS_PER_MESSAGE: usize = 64;
+/// Sockets accepted in one takeover.
+const MAX_SOCKETS: usize = 65_536;
+/// The predecessor's timeout for one exchange. Its event loop is blocked meanwhile.
+const PREDECESSOR_TIMEOUT: Duration = Duration::from_millis(800);
+/// The successor's timeout for one exchange. Longer than the predecessor's: the successor must not start alone while
+/// the predecessor may still hand over.
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The kinds of frames.
+/// Kind of a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Kind {
-    /// Asks for what is held.
-    Hello = 1,
-    /// What is held; sockets follow.
+pub enum FrameKind {
+    /// Requests the state.
+    Request = 1,
+    /// The state; sockets follow.
     State = 2,
-    /// Not to be had.
-    No = 3,
-    /// All of it was read.
-    Held = 4,
-    /// The other has let go.
-    Yours = 5,
-    /// The other works on.
-    Keep = 6,
-    /// The other is to finish and end.
-    Leave = 7,
+    /// The state is not available; the body gives the reason.
+    Refusal = 3,
+    /// The successor has read the state and all sockets.
+    Received = 4,
+    /// The predecessor has released the state to the successor.
+    Released = 5,
+    /// The predecessor has cancelled the takeover and continues to serve.
+    Cancel = 6,
+    /// The predecessor is to finish its accepted calls and end.
+    Stop = 7,
 }
 
-impl Kind {
-    /// What a successor asks, by the head of its first frame, which holds nothing more.
-    pub fn asked(head: &[u8; 8]) -> Result<Kind, TakeoverError> {
-        match (length_of(head)?, head[3]) {
-            (0, kind) if kind == Kind::Hello as u8 => Ok(Kind::Hello),
-            (0, kind) if kind == Kind::Leave as u8 => Ok(Kind::Leave),
-            _ => Err(TakeoverError::Form),
+impl FrameKind {
+    /// Parses the header of a successor's first frame, which has no body.
+    pub fn parse_request(header: &[u8; 8]) -> Result<FrameKind, TakeoverError> {
+        match (body_length(header)?, header[3]) {
+            (0, kind) if kind == FrameKind::Request as u8 => Ok(FrameKind::Request),
+            (0, kind) if kind == FrameKind::Stop as u8 => Ok(FrameKind::Stop),
+            _ => Err(TakeoverError::InvalidFrame),
         }
     }
 }
 
-/// A way that broke, or an answer that was no.
+/// Why a takeover failed.
 #[derive(Debug, thiserror::Error)]
 pub enum TakeoverError {
-    /// The way broke, or took too long.
-    #[error("the way between the processes broke: {0}")]
-    Broken(#[from] io::Error),
-    /// What came is no frame.
-    #[error("what came is no message of version {VERSION}")]
-    Form,
-    /// The frame is longer than any may be.
-    #[error("a message of {0} bytes")]
+    /// The channel failed or timed out.
+    #[error("takeover channel: {0}")]
+    Io(#[from] io::Error),
+    /// Not a frame, or not the expected one.
+    #[error("invalid takeover frame (protocol version {VERSION} expected)")]
+    InvalidFrame,
+    /// A frame body or a list of sockets above the limit.
+    #[error("takeover frame or socket list too long: {0}")]
     TooLong(usize),
-    /// The predecessor said no.
-    #[error("the predecessor keeps what it holds: {0}")]
-    No(String),
-    /// The predecessor works on.
-    #[error("the predecessor works on: the word came too late")]
-    Kept,
-    /// What came cannot be used.
-    #[error("what the predecessor holds cannot be used: {0}")]
+    /// The predecessor refused to hand over its state.
+    #[error("refused by the predecessor: {0}")]
+    Refused(String),
+    /// The predecessor cancelled the takeover and continues to serve.
+    #[error("cancelled by the predecessor: confirmation came too late")]
+    Cancelled,
+    /// The state does not fit this process or cannot be read.
+    #[error("the predecessor's state cannot be used: {0}")]
     Unusable(String),
 }
 
-/// The listening socket that this process has inherited as that descriptor.
-pub fn inherited(descriptor: i32) -> io::Result<TcpListener> {
-    // listenfd reads systemd's form of the same; it checks what the descriptor is.
+/// The listening socket that this process has inherited as `descriptor`.
+pub fn inherited_listener(descriptor: i32) -> io::Result<TcpListener> {
+    // listenfd takes descriptors by systemd's variables and checks that this one is a listening socket.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", descriptor.to_string());
     std::env::remove_var("LISTEN_PID");
@@ -109,76 +112,77 @@
     Ok(listener)
 }
 
-/// Where a controller of this name waits for its successor.
+/// The Unix socket on which a controller of this name waits for its successor.
 pub fn socket_path(dir: &Path, name: &str) -> PathBuf {
     let name: String =
         name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).take(40).collect();
     dir.join(format!("lockpoint-{name}.takeover"))
 }
 
-/// Waits for a successor at this place, instead of whoever did before.
-pub fn wait_at(place: &Path) -> io::Result<UnixListener> {
-    remove_socket(place)?;
-    let listener = UnixListener::bind(place)?;
-    std::fs::set_permissions(place, std::fs::Permissions::from_mode(0o600))?;
+/// Listens for a successor at this path, replacing the socket of an earlier process.
+pub fn listen_for_successor(path: &Path) -> io::Result<UnixListener> {
+    remove_socket(path)?;
+    let listener = UnixListener::bind(path)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
 /// Removes a socket, never another kind of file.
-fn remove_socket(place: &Path) -> io::Result<()> {
-    match std::fs::symlink_metadata(place) {
-        Ok(found) if found.file_type().is_socket() => std::fs::remove_file(place),
-        Ok(_) => Err(io::Error::new(io::ErrorKind::AlreadyExists, "another file is in the way")),
+fn remove_socket(path: &Path) -> io::Result<()> {
+    match std::fs::symlink_metadata(path) {
+        Ok(metadata) if metadata.file_type().is_socket() => std::fs::remove_file(path),
+        Ok(_) => Err(io::Error::new(io::ErrorKind::AlreadyExists, "the path exists and is not a socket")),
         Err(_) => Ok(()),
     }
 }
 
-/// One end of the way between two processes.
+/// One end of the connection between two processes.
 #[derive(Debug)]
 pub struct TakeoverChannel {
     stream: UnixStream,
-    patience: Duration,
-    /// When the exchange that is under way must have come to its end. Guards against one who reads or writes a little
-    /// now and then, and keeps a predecessor standing still.
-    ends: Instant,
+    timeout: Duration,
+    /// End of the time for the current exchange. Guards against a peer that reads or writes a few bytes now and then
+    /// and so keeps the predecessor blocked.
+    deadline: Instant,
 }
 
-/// What is written or read before the time is looked at again.
-const PIECE: usize = 32 * 1024;
+/// Bytes written at most before the remaining time is checked again.
+const CHUNK_BYTES: usize = 32 * 1024;
 
 impl TakeoverChannel {
-    /// To the predecessor at this place; `None`: there is none. A socket that nobody answers at is removed.
-    pub fn to_predecessor(place: &Path) -> Option<TakeoverChannel> {
-        match UnixStream::connect(place) {
-            Ok(stream) => TakeoverChannel::of(stream, WAITS).ok(),
+    /// Connects to the predecessor at this path; `None`: there is none. A socket on which no process listens is
+    /// removed.
+    pub fn to_predecessor(path: &Path) -> Option<TakeoverChannel> {
+        match UnixStream::connect(path) {
+            Ok(stream) => TakeoverChannel::new(stream, SUCCESSOR_TIMEOUT).ok(),
             Err(error) => {
                 if error.kind() == io::ErrorKind::ConnectionRefused {
-                    let _ = remove_socket(place);
+                    let _ = remove_socket(path);
                 }
                 None
             }
         }
     }
 
-    /// From a successor that has connected.
+    /// The predecessor's end, for a successor that has connected.
     pub fn to_successor(stream: UnixStream) -> io::Result<TakeoverChannel> {
-        TakeoverChannel::of(stream, STANDS_STILL)
+        TakeoverChannel::new(stream, PREDECESSOR_TIMEOUT)
     }
 
-    fn of(stream: UnixStream, patience: Duration) -> io::Result<TakeoverChannel> {
+    fn new(stream: UnixStream, timeout: Duration) -> io::Result<TakeoverChannel> {
         stream.set_nonblocking(false)?;
-        Ok(TakeoverChannel { stream, patience, ends: Instant::now() + patience })
+        Ok(TakeoverChannel { stream, timeout, deadline: Instant::now() + timeout })
     }
 
-    /// An exchange begins.
-    fn begin(&mut self) {
-        self.ends = Instant::now() + self.patience;
+    /// Starts the time for the next exchange.
+    fn restart_timeout(&mut self) {
+        self.deadline = Instant::now() + self.timeout;
     }
 
-    /// What is done next has only the time that is left.
-    fn in_time(&self) -> io::Result<&UnixStream> {
-        let left = self.ends.saturating_duration_since(Instant::now());
+    /// The stream, with its timeouts set to the time that is left for this exchange.
+    fn stream_with_remaining_time(&self) -> io::Result<&UnixStream> {
+        let left = self.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
@@ -190,7 +194,7 @@
     fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut left = bytes;
         while !left.is_empty() {
-            match self.in_time()?.write(&left[..left.len().min(PIECE)]) {
+            match self.stream_with_remaining_time()?.write(&left[..left.len().min(CHUNK_BYTES)]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => left = &left[n..],
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -201,11 +205,11 @@
     }
 
     fn read(&self, bytes: &mut [u8]) -> io::Result<()> {
-        let mut got = 0;
-        while got < bytes.len() {
-            match self.in_time()?.read(&mut bytes[got..]) {
+        let mut filled = 0;
+        while filled < bytes.len() {
+            match self.stream_with_remaining_time()?.read(&mut bytes[filled..]) {
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Ok(n) => got += n,
+                Ok(n) => filled += n,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
@@ -213,119 +217,125 @@
         Ok(())
     }
 
-    /// Says something.
-    pub fn say(&mut self, kind: Kind, text: &[u8]) -> Result<(), TakeoverError> {
-        let length = u32::try_from(text.len()).ok().filter(|_| text.len() <= MOST_BYTES);
-        let length = length.ok_or(TakeoverError::TooLong(text.len()))?;
-        let mut head = [0; 8];
-        head[..2].copy_from_slice(&MARK);
-        (head[2], head[3]) = (VERSION, kind as u8);
-        head[4..].copy_from_slice(&length.to_be_bytes());
-        self.write(&head)?;
-        Ok(self.write(text)?)
+    /// Sends a frame.
+    pub fn send(&mut self, kind: FrameKind, body: &[u8]) -> Result<(), TakeoverError> {
+        let length = u32::try_from(body.len()).ok().filter(|_| body.len() <= MAX_FRAME_BYTES);
+        let length = length.ok_or(TakeoverError::TooLong(body.len()))?;
+        let mut header = [0; 8];
+        header[..2].copy_from_slice(&MAGIC);
+        (header[2], header[3]) = (VERSION, kind as u8);
+        header[4..].copy_from_slice(&length.to_be_bytes());
+        self.write(&header)?;
+        Ok(self.write(body)?)
     }
 
-    /// Hears something; its kind is as it came.
-    pub fn hear(&mut self) -> Result<(u8, Vec<u8>), TakeoverError> {
-        let mut head = [0; 8];
-        self.read(&mut head)?;
-        let length = length_of(&head)?;
-        let mut text = vec![0; length];
-        self.read(&mut text)?;
-        Ok((head[3], text))
+    /// Receives a frame: its kind, unchecked, and its body.
+    pub fn receive(&mut self) -> Result<(u8, Vec<u8>), TakeoverError> {
+        let mut header = [0; 8];
+        self.read(&mut header)?;
+        let length = body_length(&header)?;
+        let mut body = vec![0; length];
+        self.read(&mut body)?;
+        Ok((header[3], body))
     }
 
-    /// Hands all over. When this says yes, it is the successor's; otherwise nothing has changed hands.
-    pub fn hand_over(&mut self, state: &[u8], sockets: &[BorrowedFd<'_>]) -> Result<(), TakeoverError> {
-        self.begin();
-        self.say(Kind::State, state)?;
+    /// Sends the state and sockets. After `Ok` they belong to the successor, after an error still to this process.
+    pub fn send_state(&mut self, state: &[u8], sockets: &[BorrowedFd<'_>]) -> Result<(), TakeoverError> {
+        self.restart_timeout();
+        self.send(FrameKind::State, state)?;
         self.write(&u32::try_from(sockets.len()).unwrap_or(u32::MAX).to_be_bytes())?;
-        for some in sockets.chunks(MOST_SOCKETS) {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
-            let mut with = SendAncillaryBuffer::new(&mut space);
-            if !with.push(SendAncillaryMessage::ScmRights(some)) {
-                return Err(TakeoverError::TooLong(some.len()));
+        for fds in sockets.chunks(MAX_SOCKETS_PER_MESSAGE) {
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
+            let mut ancillary = SendAncillaryBuffer::new(&mut space);
+            if !ancillary.push(SendAncillaryMessage::ScmRights(fds)) {
+                return Err(TakeoverError::TooLong(fds.len()));
             }
-            sendmsg(self.in_time()?, &[IoSlice::new(&[1])], &mut with, SendFlags::empty())
-                .map_err(io::Error::from)?;
+            sendmsg(
+                self.stream_with_remaining_time()?,
+                &[IoSlice::new(&[1])],
+                &mut ancillary,
+                SendFlags::empty(),
+            )
+            .map_err(io::Error::from)?;
         }
-        match self.hear() {
-            Ok((kind, _)) if kind == Kind::Held as u8 => self.say(Kind::Yours, b""),
-            Ok(_) => Err(TakeoverError::Form),
+        match self.receive() {
+            Ok((kind, _)) if kind == FrameKind::Received as u8 => self.send(FrameKind::Released, b""),
+            Ok(_) => Err(TakeoverError::InvalidFrame),
             Err(error) => {
-                // Should it still be there, it must know that it has come too late.
-                self.begin();
-                let _ = self.say(Kind::Keep, b"");
+                // A successor that is still there must learn that its confirmation is too late.
+                self.restart_timeout();
+                let _ = self.send(FrameKind::Cancel, b"");
                 Err(error)
             }
         }
     }
 
-    /// Asks for what is held, and gets it with its sockets.
-    pub fn ask(&mut self) -> Result<(Vec<u8>, Vec<OwnedFd>), TakeoverError> {
-        self.begin();
-        self.say(Kind::Hello, b"")?;
-        let (kind, text) = self.hear()?;
-        if kind == Kind::No as u8 {
-            return Err(TakeoverError::No(String::from_utf8_lossy(&text).into_owned()));
+    /// Requests the predecessor's state and receives it with its sockets.
+    pub fn request_state(&mut self) -> Result<(Vec<u8>, Vec<OwnedFd>), TakeoverError> {
+        self.restart_timeout();
+        self.send(FrameKind::Request, b"")?;
+        let (kind, body) = self.receive()?;
+        if kind == FrameKind::Refusal as u8 {
+            return Err(TakeoverError::Refused(String::from_utf8_lossy(&body).into_owned()));
         }
-        if kind != Kind::State as u8 {
-            return Err(TakeoverError::Form);
+        if kind != FrameKind::State as u8 {
+            return Err(TakeoverError::InvalidFrame);
         }
         let mut count = [0; 4];
         self.read(&mut count)?;
         let count = u32::from_be_bytes(count) as usize;
-        if count > MOST_IN_ALL {
+        if count > MAX_SOCKETS {
             return Err(TakeoverError::TooLong(count));
         }
         let mut sockets = Vec::new();
         while sockets.len() < count {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
-            let mut with = RecvAncillaryBuffer::new(&mut space);
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS_PER_MESSAGE))];
+            let mut ancillary = RecvAncillaryBuffer::new(&mut space);
             let mut byte = [0; 1];
             let into = &mut [IoSliceMut::new(&mut byte)];
-            let got = recvmsg(self.in_time()?, into, &mut with, RecvFlags::CMSG_CLOEXEC)
-                .map_err(io::Error::from)?;
+            let received =
+                recvmsg(self.stream_with_remaining_time()?, into, &mut ancillary, RecvFlags::CMSG_CLOEXEC)
+                    .map_err(io::Error::from)?;
             let before = sockets.len();
-            for message in with.drain() {
-                if let RecvAncillaryMessage::ScmRights(some) = message {
-                    sockets.extend(some);
+            for message in ancillary.drain() {
+                if let RecvAncillaryMessage::ScmRights(fds) = message {
+                    sockets.extend(fds);
                 }
             }
-            if got.bytes == 0 || sockets.len() == before {
-                return Err(TakeoverError::Form);
+            if received.bytes == 0 || sockets.len() == before {
+                return Err(TakeoverError::InvalidFrame);
             }
         }
-        Ok((text, sockets))
+        Ok((body, sockets))
     }
 
-    /// Says that all of it can be used; when this says yes, it is this process's.
-    pub fn take(&mut self) -> Result<(), TakeoverError> {
-        self.begin();
-        // Where nobody is there any more to hear it, the last word that was said there still counts.
-        match self.say(Kind::Held, b"") {
-            Err(TakeoverError::Broken(error)) if error.kind() != io::ErrorKind::BrokenPipe => {
+    /// Confirms that the state can be used. After `Ok` it belongs to this process.
+    pub fn confirm(&mut self) -> Result<(), TakeoverError> {
+        self.restart_timeout();
+        // If the predecessor has closed its end, the last frame that it sent still decides.
+        match self.send(FrameKind::Received, b"") {
+            Err(TakeoverError::Io(error)) if error.kind() != io::ErrorKind::BrokenPipe => {
                 return Err(error.into());
             }
             _ => {}
         }
-        match self.hear() {
-            Ok((kind, _)) if kind == Kind::Yours as u8 => Ok(()),
-            Ok(_) => Err(TakeoverError::Kept),
-            // It has died, and what it held is here: whoever works on says so first.
-            Err(TakeoverError::Broken(error)) if error.kind() == io::ErrorKind::UnexpectedEof => Ok(()),
-            Err(TakeoverError::Broken(error)) if error.kind() == io::ErrorKind::ConnectionReset => Ok(()),
+        match self.receive() {
+            Ok((kind, _)) if kind == FrameKind::Released as u8 => Ok(()),
+            Ok(_) => Err(TakeoverError::Cancelled),
+            // The predecessor has died, and its state is here: one that continues to serve sends `Cancel` first.
+            Err(TakeoverError::Io(error)) if error.kind() == io::ErrorKind::UnexpectedEof => Ok(()),
+            Err(TakeoverError::Io(error)) if error.kind() == io::ErrorKind::ConnectionReset => Ok(()),
             Err(error) => Err(error),
         }
     }
 }
 
-fn length_of(head: &[u8; 8]) -> Result<usize, TakeoverError> {
-    if head[..2] != MARK || head[2] != VERSION {
-        return Err(TakeoverError::Form);
+fn body_length(header: &[u8; 8]) -> Result<usize, TakeoverError> {
+    if header[..2] != MAGIC || header[2] != VERSION {
+        return Err(TakeoverError::InvalidFrame);
     }
-    let length = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
-    if length > MOST_BYTES {
+    let length = u32::from_be_bytes([header[4], header[5], header[6], header[7]]) as usize;
+    if length > MAX_FRAME_BYTES {
         return Err(TakeoverError::TooLong(length));
     }
     Ok(length)
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -126,11 +126,11 @@
         let caller = connect(&world, &listen).await;
         serves(&world, &caller, 1).await;
         bulletin.tell_raw(spoilt);
-        program.says(&["fails", "party=\"bulletin\"", &at, "follows its event 1", why]).await;
-        program.says(&["passed over; what was known stays", why]).await;
+        program.says(&["failing", "party=\"bulletin\"", &at, "follows its event 1", why]).await;
+        program.says(&["unreadable entries skipped; the known list stays", why]).await;
         serves(&world, &caller, 100).await;
-        assert_eq!(program.times("passed over"), 1);
-        assert_eq!(program.times(" fails "), 1, "{:#?}", program.said);
+        assert_eq!(program.times("unreadable entries skipped"), 1);
+        assert_eq!(program.times(" failing "), 1, "{:#?}", program.said);
     });
 }
 
@@ -148,9 +148,9 @@
         serves(&world, &caller, 1).await;
         server.say(b"SIP/2.0 OK 200\r\nContent-Length: nine\r\n\r\n");
         let at = server.at.to_string();
-        program.says(&["fails", "party=\"call server's messages\"", &at, "message"]).await;
+        program.says(&["failing", "party=\"call server's messages\"", &at, "message"]).await;
         serves(&world, &caller, 100).await;
-        program.says(&["is back", "party=\"call server's messages\"", &at]).await;
+        program.says(&["recovered", "party=\"call server's messages\"", &at]).await;
     });
 }
 
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -89,7 +89,7 @@
             let mut said = Vec::new();
             for line in BufReader::new(stderr).lines() {
                 let line: Value = serde_json::from_str(&line.expect("a line")).expect("JSON");
-                let back = line["message"] == "is back";
+                let back = line["message"] == "recovered";
                 said.push(line);
                 if back {
                     break;
@@ -101,7 +101,10 @@
             tokio::time::timeout(Duration::from_secs(20), read).await.expect("it is back").expect("read");
         let of_bulletin: Vec<&Value> = said.iter().filter(|line| line["party"] == "bulletin").collect();
         assert_eq!(of_bulletin.len(), 2, "{said:#?}");
-        assert_eq!((&of_bulletin[0]["message"], &of_bulletin[0]["level"]), (&"fails".into(), &"WARN".into()));
+        assert_eq!(
+            (&of_bulletin[0]["message"], &of_bulletin[0]["level"]),
+            (&"failing".into(), &"WARN".into())
+        );
         assert_eq!(of_bulletin[0]["at"], at.to_string());
         assert!(of_bulletin[1]["times"].as_u64() >= Some(3), "{of_bulletin:?}");
     });
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators use, on real sockets: the console, the figures, emptying and coming back.
+//! The operators' console on real sockets: commands, metrics, drain and rejoin.
 
 mod support;
 
@@ -11,14 +11,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Any call is owed its answer within this.
-const DUE: Duration = Duration::from_secs(1);
+/// Every command must be answered within this time.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn with_console(bulletin: SocketAddr) -> InstanceConfig {
     InstanceConfig { console: Some("127.0.0.1:0".parse().expect("an address")), ..support::config(bulletin) }
 }
 
-/// One call server that answers, a controller that has heard of it, and its console.
+/// Starts an answering call server and a controller that lists it; returns the controller's console address too.
 async fn start(world: &World) -> (Controller, std::rc::Rc<SipServer>, SocketAddr) {
     let bulletin = Bulletin::start(world).await;
     let server = SipServer::start(world, "s0", Does::Answer("a".into())).await;
@@ -29,9 +29,9 @@
     (controller, server, console)
 }
 
-/// What is answered to bytes that are said piece by piece.
-async fn say(console: SocketAddr, pieces: &[Vec<u8>]) -> String {
-    let talk = async {
+/// Sends bytes piece by piece and returns the reply.
+async fn send_pieces(console: SocketAddr, pieces: &[Vec<u8>]) -> String {
+    let exchange = async {
         let mut stream = TcpStream::connect(console).await.expect("the console listens");
         stream.set_nodelay(true).expect("set");
         for piece in pieces {
@@ -39,17 +39,17 @@
             tokio::task::yield_now().await;
         }
         let mut text = String::new();
-        stream.read_to_string(&mut text).await.expect("an answer, and an end in order");
+        stream.read_to_string(&mut text).await.expect("a reply, and an orderly close");
         text
     };
-    tokio::time::timeout(DUE, talk).await.expect("answered in time")
+    tokio::time::timeout(REPLY_TIMEOUT, exchange).await.expect("answered in time")
 }
 
-async fn call(console: SocketAddr, line: &str) -> String {
-    say(console, &[format!("{line}\n").into_bytes()]).await
+async fn command(console: SocketAddr, line: &str) -> String {
+    send_pieces(console, &[format!("{line}\n").into_bytes()]).await
 }
 
-fn figure(info: &str, name: &str) -> String {
+fn metric(info: &str, name: &str) -> String {
     let value = |line: &str| Some(line.strip_prefix(&format!("controller.{name}:"))?.to_owned());
     info.lines().find_map(value).unwrap_or_else(|| panic!("no {name} in {info}"))
 }
@@ -58,57 +58,57 @@
 #[case::whole(vec![b"PING\n".to_vec()], "SUCCESS")]
 #[case::with_a_return(vec![b"PING\r\n".to_vec()], "SUCCESS")]
 #[case::byte_by_byte(b"PING\n".iter().map(|b| vec![*b]).collect(), "SUCCESS")]
-#[case::unknown(vec![b"STOP\n".to_vec()], "FAILURE unknown call 'STOP'")]
-#[case::nothing(vec![b"\n".to_vec()], "FAILURE unknown call ''")]
+#[case::unknown(vec![b"STOP\n".to_vec()], "FAILURE unknown command 'STOP'")]
+#[case::nothing(vec![b"\n".to_vec()], "FAILURE unknown command ''")]
 #[case::noise(vec![b"\xff\x00\x1b[2J\n".to_vec()], "FAILURE")]
-#[case::too_long(vec![vec![b'P'; 5_000], b"\n".to_vec()], "FAILURE a line of more than")]
-#[case::without_end(vec![vec![b'P'; 129]], "FAILURE a line of more than")]
-fn a_line_is_answered_or_told_why_not(#[case] pieces: Vec<Vec<u8>>, #[case] answer: &str) {
+#[case::too_long(vec![vec![b'P'; 5_000], b"\n".to_vec()], "FAILURE line longer than")]
+#[case::without_end(vec![vec![b'P'; 129]], "FAILURE line longer than")]
+fn a_line_gets_a_reply_or_an_error(#[case] pieces: Vec<Vec<u8>>, #[case] answer: &str) {
     on_one_thread(async {
         let world = World::default();
         let (_controller, _server, console) = start(&world).await;
-        let got = say(console, &pieces).await;
+        let got = send_pieces(console, &pieces).await;
         assert!(got.starts_with(answer) && got.lines().count() == 1, "{got}");
     });
 }
 
 #[test]
-fn ping_says_yes_once_calls_can_be_served() {
+fn ping_succeeds_once_calls_can_be_served() {
     on_one_thread(async {
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
         let controller = Controller::start(with_console(bulletin.at)).await;
         let console = controller.console_at.expect("a console");
-        assert!(call(console, "PING").await.starts_with("FAILURE no list"));
+        assert!(command(console, "PING").await.starts_with("FAILURE no list"));
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
         controller.holds_list().await;
-        assert!(call(console, "PING").await.starts_with("SUCCESS"));
+        assert!(command(console, "PING").await.starts_with("SUCCESS"));
     });
 }
 
-/// Guards against those who say nothing, or half a call, and stay: they hold all the descriptors set aside.
+/// Guards against connections that send nothing, or half a command, and use up the console's descriptors.
 #[test]
-fn a_crowd_that_says_nothing_costs_no_real_call_its_answer() {
+fn idle_connections_do_not_keep_a_command_from_its_reply() {
     on_one_thread(async {
         let world = World::default();
         let (_controller, _server, console) = start(&world).await;
-        let mut crowd = Vec::new();
+        let mut idle = Vec::new();
         for n in 0..120 {
             let mut stream = TcpStream::connect(console).await.expect("the console listens");
             if n % 2 == 0 {
-                stream.write_all(b"INF").await.expect("said");
+                stream.write_all(b"INF").await.expect("sent");
             }
-            crowd.push(stream);
+            idle.push(stream);
         }
         for line in ["PING", "INFO", "PING"] {
-            assert!(call(console, line).await.starts_with("SUCCESS"));
+            assert!(command(console, line).await.starts_with("SUCCESS"));
         }
     });
 }
 
 #[test]
-fn the_figures_tell_how_requests_ended_and_what_is_held() {
+fn info_reports_how_requests_ended_and_what_is_pending() {
     on_one_thread(async {
         let world = World::default();
         let (controller, server, console) = start(&world).await;
@@ -120,7 +120,7 @@
         *server.does.borrow_mut() = Does::Refuse(503, String::new());
         caller.open(&name(3), 2_000, 0, "x").await;
         world.answer(&name(3)).await;
-        let info = call(console, "INFO").await;
+        let info = command(console, "INFO").await;
         assert!(info.starts_with("SUCCESS") && info.ends_with("\nEOT\n"), "{info}");
         let table = [
             ("downstream_requests.judge-call.completed", "2|c"),
@@ -132,25 +132,25 @@
             ("members_unavailable", "0|g"),
         ];
         for (name, value) in table {
-            assert_eq!(figure(&info, name), value, "{name}");
+            assert_eq!(metric(&info, name), value, "{name}");
         }
         server.release(&name(1), 16);
         world.until("the release", |s| s.sid == name(1) && s.what == What::Close(16, None)).await;
-        assert_eq!(figure(&call(console, "INFO").await, "pending"), "1|g");
+        assert_eq!(metric(&command(console, "INFO").await, "pending"), "1|g");
     });
 }
 
-async fn test_passes(at: SocketAddr) -> bool {
+async fn health_check_passes(at: SocketAddr) -> bool {
     let mut stream = TcpStream::connect(at).await.expect("it listens");
-    let test = b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n";
-    stream.write_all(test).await.expect("said");
+    let probe = b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n";
+    stream.write_all(probe).await.expect("sent");
     let mut heard = [0; 256];
     let n = stream.read(&mut heard).await.expect("an answer");
     String::from_utf8_lossy(&heard[..n]).contains("\"code\":1")
 }
 
 #[test]
-fn a_drain_answers_what_was_taken_then_ends_connections_in_order_and_rejoin_brings_it_back() {
+fn a_drain_answers_accepted_calls_then_closes_connections_in_order_and_rejoin_revokes_it() {
     on_one_thread(async {
         let world = World::default();
         let (controller, server, console) = start(&world).await;
@@ -159,47 +159,47 @@
         world.answer(&name(1)).await;
         *server.does.borrow_mut() = Does::Silent;
         caller.open(&name(2), 9_000, 0, "x").await;
-        world.until("it is out", |s| s.sid == name(2) && matches!(s.what, What::SetUp(..))).await;
+        world.until("the attempt is out", |s| s.sid == name(2) && matches!(s.what, What::SetUp(..))).await;
         let idle = TcpStream::connect(controller.at).await.expect("it listens");
         for _ in 0..2 {
-            assert!(call(console, "LAMEDUCK").await.starts_with("SUCCESS"));
+            assert!(command(console, "LAMEDUCK").await.starts_with("SUCCESS"));
         }
-        assert!(!test_passes(controller.at).await, "tests fail at once");
-        // New connections still come and are served.
+        assert!(!health_check_passes(controller.at).await, "health checks fail at once");
+        // New connections are still accepted and served.
         *server.does.borrow_mut() = Does::Answer("b".into());
         let late = Caller::connect(&world, "late", controller.at).await;
         late.open(&name(3), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(3)).await.what, What::Ready("b".into()));
-        // The idle one ends, in order; the call that stands keeps its way for the release.
+        // The idle connection is closed in order; that of the established call stays open for its release.
         let mut rest = Vec::new();
         let mut idle = idle;
         let end = tokio::time::timeout(Duration::from_secs(2), idle.read_to_end(&mut rest)).await;
         assert!(matches!(end, Ok(Ok(0))), "{end:?}");
         server.release(&name(1), 16);
         world.until("the release", |s| s.sid == name(1) && s.what == What::Close(16, None)).await;
-        assert!(call(console, "PING").await.starts_with("SUCCESS"), "the process can serve");
+        assert!(command(console, "PING").await.starts_with("SUCCESS"), "the process can serve");
         for _ in 0..2 {
-            assert!(call(console, "REJOIN").await.starts_with("SUCCESS"));
+            assert!(command(console, "REJOIN").await.starts_with("SUCCESS"));
         }
-        assert!(test_passes(controller.at).await, "tests pass again");
+        assert!(health_check_passes(controller.at).await, "health checks pass again");
         let after = Caller::connect(&world, "after", controller.at).await;
         after.open(&name(4), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(4)).await.what, What::Ready("b".into()));
     });
 }
 
-/// Guards against connections that are held idle, and against set-ups taken, when the controller is to be empty.
+/// Guards against idle connections and accepted set-ups in a controller that is to be empty.
 #[test]
-fn a_drained_controller_holds_no_connection_after_four_seconds() {
+fn a_drained_controller_has_no_connection_after_four_seconds() {
     on_one_thread(async {
         let world = World::default();
         let (controller, _server, console) = start(&world).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         world.answer(&name(1)).await;
-        call(console, "LAMEDUCK").await;
+        command(console, "LAMEDUCK").await;
         let began = std::time::Instant::now();
-        // The call that stands keeps its connection for its release; what is asked on it late is refused at once.
+        // The established call keeps its connection for its release; a late set-up on it is refused at once.
         let mut n = 1;
         let refused = loop {
             n += 1;
@@ -213,6 +213,6 @@
         assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
         controller.turns("no connection is left", |i| i.counters().clients == 0).await;
         assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
-        assert_eq!(controller.instance.counters().standing, n as usize - 1, "what stands goes on");
+        assert_eq!(controller.instance.counters().standing, n as usize - 1, "established calls continue");
     });
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! One process takes over from another under traffic: two real programs, and stand-ins for all others.
+//! Takeover between two real processes under traffic, with simulated callers, call servers and bulletin.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use lockpoint::takeover::{self, Kind, TakeoverChannel, TakeoverError};
+use lockpoint::takeover::{self, FrameKind, TakeoverChannel, TakeoverError};
 use rstest::rstest;
 use serde_json::json;
 use support::{
@@ -20,42 +20,42 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The platform's side of a controller: its folder, its listening socket, its call server and bulletin.
-struct Place {
+/// The platform's side of a controller: its folder and listening socket, a call server and a bulletin.
+struct Platform {
     world: World,
     dir: PathBuf,
-    held: TcpListener,
+    listener: TcpListener,
     bulletin: Rc<Bulletin>,
     server: Rc<SipServer>,
     no: usize,
     consoles: Cell<u8>,
 }
 
-impl Place {
-    async fn new(test: &str, does: Does) -> Place {
-        static PLACES: AtomicUsize = AtomicUsize::new(0);
+impl Platform {
+    async fn new(test: &str, does: Does) -> Platform {
+        static INSTANCES: AtomicUsize = AtomicUsize::new(0);
         let world = World::default();
-        let no = PLACES.fetch_add(1, Ordering::Relaxed);
+        let no = INSTANCES.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("lockpoint-{test}-{}-{no}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
-        let held = TcpListener::bind("127.0.0.1:0").expect("a port");
-        rustix::io::fcntl_setfd(&held, rustix::io::FdFlags::empty()).expect("children inherit it");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).expect("children inherit it");
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", does).await;
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
-        Place { world, dir, held, bulletin, server, no, consoles: Cell::new(0) }
+        Platform { world, dir, listener, bulletin, server, no, consoles: Cell::new(0) }
     }
 
     fn at(&self) -> SocketAddr {
-        self.held.local_addr().expect("an address")
+        self.listener.local_addr().expect("an address")
     }
 
     fn socket(&self) -> PathBuf {
         takeover::socket_path(&self.dir, "n1")
     }
 
-    /// A console address of this process's own, on a port that the system picks.
-    fn a_console(&self) -> SocketAddr {
+    /// A console address that no other test process uses, on a port that the system picks.
+    fn free_console_address(&self) -> SocketAddr {
         let id = std::process::id();
         self.consoles.set(self.consoles.get() + 1);
         let host = [127, 1 + (id % 200) as u8, 1 + (self.no % 200) as u8, self.consoles.get()];
@@ -71,7 +71,7 @@
         file
     }
 
-    /// One for which the platform holds no socket: it looks for no predecessor, so it cannot listen.
+    /// Starts a process without an inherited listener: it looks for no predecessor, so its address is in use.
     fn start_without_descriptor(
         &self,
         console: SocketAddr,
@@ -90,20 +90,20 @@
         let file = self.write_config(change);
         let mut command = Command::new(env!("CARGO_BIN_EXE_lockpoint"));
         command.env("ROUTER_CONFIG", file).env("ROUTER_CONSOLE", console.to_string());
-        command.env("ROUTER_FD", self.held.as_raw_fd().to_string()).env("TMPDIR", &self.dir);
+        command.env("ROUTER_FD", self.listener.as_raw_fd().to_string()).env("TMPDIR", &self.dir);
         command.env_remove("ROUTER_LISTEN").env_remove("ROUTER_NAME").stderr(Stdio::piped());
         Program { child: command.spawn().expect("it starts"), console }
     }
 
-    /// Starts a process and waits until it says that it can serve.
+    /// Starts a process and waits until it reports that it can serve.
     async fn start(&self) -> Program {
-        let program = self.start_with(self.a_console(), |_| ());
-        until("it can serve", async || program.call("PING").await.starts_with("SUCCESS")).await;
+        let program = self.start_with(self.free_console_address(), |_| ());
+        until("the process can serve", async || program.call("PING").await.starts_with("SUCCESS")).await;
         program
     }
 }
 
-impl Drop for Place {
+impl Drop for Platform {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.dir);
     }
@@ -117,7 +117,7 @@
     }
 }
 
-/// One of the two processes; it does not outlive its test.
+/// A controller process, killed at the end of its test.
 struct Program {
     child: Child,
     console: SocketAddr,
@@ -136,12 +136,12 @@
         let kill = Command::new("kill").args([which, &self.child.id().to_string()]).status();
         assert!(kill.expect("it runs").success());
     }
-    fn runs(&mut self) -> bool {
+    fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
-    /// Waits for its end: its code and its log.
+    /// Waits for the process to end; returns its exit code and its log.
     async fn end(mut self) -> (Option<i32>, String) {
-        until("it ends", async || !self.runs()).await;
+        until("it ends", async || !self.is_running()).await;
         let mut log = String::new();
         std::io::Read::read_to_string(&mut self.child.stderr.take().expect("piped"), &mut log)
             .expect("its log");
@@ -168,51 +168,52 @@
     move |seen| seen.sid == sid && matches!(seen.what, What::SetUp(..))
 }
 
-/// Guards against calls, answers and releases lost, or attempts sent twice, where one process follows another.
+/// Guards against calls, answers and releases lost, or attempts sent twice, in a takeover.
 #[test]
-fn what_one_process_took_the_next_one_answers_on_the_same_connections() {
+fn the_new_process_answers_pending_calls_on_the_same_connections() {
     on_one_thread(async {
-        let place = Place::new("across", answers("a")).await;
-        let world = &place.world;
-        let first = place.start().await;
-        let caller = Caller::connect(world, "c", place.at()).await;
+        let platform = Platform::new("across", answers("a")).await;
+        let world = &platform.world;
+        let first = platform.start().await;
+        let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         caller.open(&name(2), 9_000, 0, "x").await;
         world.answer(&name(1)).await;
         world.answer(&name(2)).await;
-        // One that is out, and one of which half has come.
-        *place.server.does.borrow_mut() = Does::Silent;
+        // One call with an outstanding attempt, and one whose set-up is half received.
+        *platform.server.does.borrow_mut() = Does::Silent;
         caller.open(&name(3), 9_000, 0, "x").await;
-        world.until("it is out", set_up(&name(3))).await;
+        world.until("the attempt is out", set_up(&name(3))).await;
         let half = format!(
             r#"{{"msg":"open","sid":"{}","attrs":{{"class":"judge-call","left":"9000","key":"7f3a"}},"te"#,
             name(4)
         );
         caller.say(half.as_bytes()).await;
-        tokio::time::sleep(Duration::from_millis(20)).await; // read by then, or read by the next one: both must hold
+        // Read by the old process or by the new one: the result must be the same.
+        tokio::time::sleep(Duration::from_millis(20)).await;
 
-        let second = place.start().await;
+        let second = platform.start().await;
         let (code, log) = first.end().await;
         assert_eq!(code, Some(0), "{log}");
         let info = second.call("INFO").await;
-        assert!(info.contains("controller.pending:3|g"), "two stand, one is out: {info}");
-        assert!(info.contains("judge-call.completed:0|c"), "each process counts from 0: {info}");
+        assert!(info.contains("controller.pending:3|g"), "two established, one pending: {info}");
+        assert!(info.contains("judge-call.completed:0|c"), "counters start at 0 in each process: {info}");
 
-        // The answer comes to the one, though the other had asked.
+        // The answer to the old process's attempt arrives at the new process.
         let out = format!(
             "SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 4\r\n\r\nlate",
             name(3)
         );
-        place.server.say(out.as_bytes());
+        platform.server.say(out.as_bytes());
         assert_eq!(world.answer(&name(3)).await.what, What::Ready("late".into()));
-        *place.server.does.borrow_mut() = answers("b");
+        *platform.server.does.borrow_mut() = answers("b");
         caller.say(b"xt\":\"y\"}\n").await;
         assert_eq!(world.answer(&name(4)).await.what, What::Ready("b".into()));
-        // Releases from either side find their calls.
-        place.server.release(&name(1), 16);
+        // Releases from both sides find their calls.
+        platform.server.release(&name(1), 16);
         world.until("the release", is(&name(1), What::Close(16, None))).await;
         caller.close(&name(2), 16).await;
-        world.until("ended there", is(&name(2), What::Bye(16))).await;
+        world.until("the BYE", is(&name(2), What::Bye(16))).await;
         for n in 1..=4 {
             let finals = |s: &Seen| s.sid == name(n) && matches!(s.what, What::Ready(_));
             assert_eq!((world.count(set_up(&name(n))), world.count(finals)), (1, 1), "call {n}");
@@ -221,46 +222,52 @@
     });
 }
 
-/// Guards against a drain that is heard late because the bulletin stalled, or broke off, while the process was replaced.
+/// Guards against a late reaction to a draining call server after the bulletin's answer stalled or broke off during a
+/// takeover.
 #[rstest]
 #[case::breaks_off(Break::Off)]
 #[case::stalls(Break::Stall)]
-fn a_bulletin_that_spoils_its_answer_during_an_upgrade_is_asked_again_in_time(#[case] how: Break) {
+fn an_incomplete_bulletin_answer_during_a_takeover_is_requested_again_in_time(#[case] how: Break) {
     on_one_thread(async {
-        let place = Place::new("bulletin", answers("a")).await;
-        let first = place.start().await;
-        place.bulletin.breaks.set(Some(how));
-        place.bulletin.tell(false, vec![host("s0", place.server.at, 0, "draining")]);
+        let platform = Platform::new("bulletin", answers("a")).await;
+        let first = platform.start().await;
+        platform.bulletin.breaks.set(Some(how));
+        platform.bulletin.tell(false, vec![host("s0", platform.server.at, 0, "draining")]);
         let told = Instant::now();
-        let second = place.start().await;
-        until("the drain is heard", async || second.call("INFO").await.contains("members_unavailable:1|g"))
-            .await;
-        assert!(told.elapsed() < Duration::from_secs(2), "heard after {:?}", told.elapsed());
+        let second = platform.start().await;
+        until("the drain takes effect", async || {
+            second.call("INFO").await.contains("members_unavailable:1|g")
+        })
+        .await;
+        assert!(told.elapsed() < Duration::from_secs(2), "took effect after {:?}", told.elapsed());
         let (code, log) = first.end().await;
-        assert!(code == Some(0) && log.contains("handed over: 0 calls that wait, 0 that stand"), "{log}");
+        assert!(
+            code == Some(0) && log.contains("handover complete: 0 pending calls, 0 established calls"),
+            "{log}"
+        );
     });
 }
 
-/// Guards against upgrades that work only once, or not with a configuration reread in between, and against a drain that
-/// a new process forgets.
+/// Guards against takeovers that work only once or not after a reload, and against a drain that is lost in a
+/// takeover.
 #[test]
-fn upgrades_repeat_and_keep_a_drain_and_sighup_works_throughout() {
+fn takeovers_can_be_repeated_keep_a_drain_and_allow_reloads() {
     on_one_thread(async {
-        let place = Place::new("again", answers("a")).await;
-        let world = &place.world;
-        let mut now = place.start().await;
-        let caller = Caller::connect(world, "c", place.at()).await;
+        let platform = Platform::new("again", answers("a")).await;
+        let world = &platform.world;
+        let mut now = platform.start().await;
+        let caller = Caller::connect(world, "c", platform.at()).await;
         for n in 1..=4 {
             caller.open(&name(n), 9_000, 0, "x").await;
             assert_eq!(world.answer(&name(n)).await.what, What::Ready("a".into()));
             now.signal("-HUP");
-            let next = place.start().await;
+            let next = platform.start().await;
             let (code, log) = std::mem::replace(&mut now, next).end().await;
             assert_eq!(code, Some(0), "{log}");
         }
         assert!(now.call("INFO").await.contains("controller.pending:4|g"));
         assert!(now.call("LAMEDUCK").await.starts_with("SUCCESS"));
-        let next = place.start().await;
+        let next = platform.start().await;
         assert_eq!(std::mem::replace(&mut now, next).end().await.0, Some(0));
         caller.say(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
         world.until("still not ready", |s| s.what == What::Other("probed 0".into())).await;
@@ -270,161 +277,163 @@
     });
 }
 
-/// Guards against a predecessor that lets go before its successor could serve.
+/// Guards against a predecessor that ends before its successor is able to serve.
 #[test]
-fn a_successor_that_cannot_serve_costs_nothing() {
+fn a_successor_that_cannot_start_does_not_affect_the_predecessor() {
     on_one_thread(async {
-        let place = Place::new("fails", answers("a")).await;
-        let world = &place.world;
-        let mut first = place.start().await;
-        let caller = Caller::connect(world, "c", place.at()).await;
+        let platform = Platform::new("fails", answers("a")).await;
+        let world = &platform.world;
+        let mut first = platform.start().await;
+        let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         world.answer(&name(1)).await;
-        // One whose file is bad, and one whose peers' address cannot be opened.
-        let bad = place.start_with(place.a_console(), |text| text["settings"] = json!(5));
+        // One with an invalid file, and one whose peer address cannot be bound.
+        let bad = platform.start_with(platform.free_console_address(), |text| text["settings"] = json!(5));
         let (code, log) = bad.end().await;
         assert_eq!((code, log.lines().count()), (Some(2), 1), "{log}");
-        let busy = place.start_with(place.a_console(), |text| {
+        let busy = platform.start_with(platform.free_console_address(), |text| {
             text["peer_listen"] = json!("203.0.113.1:9"); // no address of this machine
         });
         assert_eq!(busy.end().await.0, Some(2));
-        assert!(first.runs());
+        assert!(first.is_running());
         caller.open(&name(2), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
-        place.server.release(&name(1), 16);
+        platform.server.release(&name(1), 16);
         world.until("the release", is(&name(1), What::Close(16, None))).await;
     });
 }
 
-/// Guards against a predecessor that is lost to whoever connects to it: a successor that dies with all it was handed,
-/// one that says nothing, noise, another version.
+/// Guards against a predecessor that stops serving because of a client on its takeover socket: one that dies after it
+/// has received the state, one that sends nothing, random bytes, another version.
 #[rstest]
-#[case::dies_with_all_of_it(None)]
-#[case::says_nothing(Some(b"".to_vec()))]
+#[case::dies_with_the_state(None)]
+#[case::sends_nothing(Some(b"".to_vec()))]
 #[case::noise(Some(b"GET / HTTP/1.1\r\n\r\n".to_vec()))]
 #[case::another_version(Some(b"LP\x09\x01\0\0\0\0".to_vec()))]
-#[case::a_length_beyond_measure(Some(b"LP\x01\x01\xff\xff\xff\xff".to_vec()))]
-#[case::half_a_word(Some(b"LP\x01\x01".to_vec()))]
-#[case::asks_and_hears_nothing(Some(b"LP\x01\x01\0\0\0\0".to_vec()))]
-fn a_successor_that_breaks_off_leaves_the_predecessor_at_work(#[case] says: Option<Vec<u8>>) {
+#[case::a_huge_length(Some(b"LP\x01\x01\xff\xff\xff\xff".to_vec()))]
+#[case::half_a_header(Some(b"LP\x01\x01".to_vec()))]
+#[case::a_request_of_an_old_version(Some(b"LP\x01\x01\0\0\0\0".to_vec()))]
+fn an_interrupted_takeover_leaves_the_predecessor_serving(#[case] sends: Option<Vec<u8>>) {
     on_one_thread(async {
-        let place = Place::new("breaks", answers("a")).await;
-        let world = &place.world;
-        let mut first = place.start().await;
-        let caller = Caller::connect(world, "c", place.at()).await;
+        let platform = Platform::new("breaks", answers("a")).await;
+        let world = &platform.world;
+        let mut first = platform.start().await;
+        let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         world.answer(&name(1)).await;
-        let _stays;
-        match says {
+        let _open_stream;
+        match sends {
             None => {
-                let mut way = TakeoverChannel::to_predecessor(&place.socket()).expect("it waits there");
-                let (state, sockets) = way.ask().expect("it hands over");
-                assert!(!state.is_empty() && sockets.len() >= 3, "doors and connections");
+                let mut channel =
+                    TakeoverChannel::to_predecessor(&platform.socket()).expect("the predecessor listens");
+                let (state, sockets) = channel.request_state().expect("the state is sent");
+                assert!(!state.is_empty() && sockets.len() >= 3, "listeners and connections");
             }
             Some(bytes) => {
-                let mut stream =
-                    std::os::unix::net::UnixStream::connect(place.socket()).expect("it waits there");
-                std::io::Write::write_all(&mut stream, &bytes).expect("said");
-                _stays = stream;
+                let mut stream = std::os::unix::net::UnixStream::connect(platform.socket())
+                    .expect("the predecessor listens");
+                std::io::Write::write_all(&mut stream, &bytes).expect("sent");
+                _open_stream = stream;
             }
         }
         caller.open(&name(2), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
-        assert!(first.runs());
-        // And a real one still takes over.
-        let _second = place.start().await;
+        assert!(first.is_running());
+        // A real successor can still take over.
+        let _second = platform.start().await;
         assert_eq!(first.end().await.0, Some(0));
-        place.server.release(&name(1), 16);
+        platform.server.release(&name(1), 16);
         world.until("the release", is(&name(1), What::Close(16, None))).await;
     });
 }
 
-/// Guards against a start that fails, or waits, where the last process was killed.
+/// Guards against a start that fails or hangs because of the socket of a killed process.
 #[test]
-fn a_killed_predecessor_leaves_a_socket_behind_and_the_next_one_serves() {
+fn a_process_starts_although_a_killed_predecessor_left_its_socket() {
     on_one_thread(async {
-        let place = Place::new("killed", answers("a")).await;
-        let world = &place.world;
-        let first = place.start().await;
+        let platform = Platform::new("killed", answers("a")).await;
+        let world = &platform.world;
+        let first = platform.start().await;
         first.signal("-KILL");
         first.end().await;
-        assert!(place.socket().exists());
-        let second = place.start().await;
-        let caller = Caller::connect(world, "c", place.at()).await;
+        assert!(platform.socket().exists());
+        let second = platform.start().await;
+        let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
-        // And the second is found in its turn.
-        let _third = place.start().await;
+        // The new process listens for a successor again.
+        let _third = platform.start().await;
         assert_eq!(second.end().await.0, Some(0));
     });
 }
 
-/// Another list of classes or zones cannot go by the old one's places: the new process starts anew, the old one finishes.
+/// Calls refer to classes and zones by index, so state with another list cannot be used: the new process starts
+/// without it, and the old one finishes its calls.
 #[rstest]
 #[case::classes("/settings/classes/0/name", json!("ruling"))]
 #[case::zones("/settings/zones", json!(["west", "east"]))]
-fn a_successor_that_cannot_use_what_is_held_starts_anew_and_the_predecessor_finishes(
+fn a_successor_that_cannot_use_the_state_starts_without_it_and_the_predecessor_finishes(
     #[case] key: &str,
     #[case] value: serde_json::Value,
 ) {
     on_one_thread(async {
-        let place = Place::new("classes", answers("a")).await;
-        let world = &place.world;
-        let first = place.start().await;
-        let caller = Caller::connect(world, "c", place.at()).await;
-        *place.server.does.borrow_mut() = Does::Silent;
+        let platform = Platform::new("classes", answers("a")).await;
+        let world = &platform.world;
+        let first = platform.start().await;
+        let caller = Caller::connect(world, "c", platform.at()).await;
+        *platform.server.does.borrow_mut() = Does::Silent;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.until("it is out", set_up(&name(1))).await;
-        let second = place.start_with(place.a_console(), |text| {
+        world.until("the attempt is out", set_up(&name(1))).await;
+        let second = platform.start_with(platform.free_console_address(), |text| {
             *text.pointer_mut(key).expect("there") = value.clone();
         });
-        until("it can serve", async || second.call("PING").await.starts_with("SUCCESS")).await;
+        until("the process can serve", async || second.call("PING").await.starts_with("SUCCESS")).await;
         let out =
             format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny", name(1));
-        place.server.say(out.as_bytes());
+        platform.server.say(out.as_bytes());
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
         let (code, log) = first.end().await;
-        assert!(log.contains("asked to leave by a successor that starts anew"), "{log}");
+        assert!(log.contains("stopping: a successor started without this process's state"), "{log}");
         assert_eq!(code, Some(0), "{log}");
     });
 }
 
-/// Guards against a predecessor that is sent away by a successor which then cannot serve either.
+/// Guards against a predecessor that is stopped by a successor which then cannot serve either.
 #[test]
-fn a_successor_that_can_neither_use_what_is_held_nor_listen_ends_and_the_predecessor_stays() {
+fn a_successor_that_can_neither_use_the_state_nor_listen_ends_and_the_predecessor_stays() {
     on_one_thread(async {
-        let place = Place::new("neither", answers("a")).await;
-        let mut first = place.start().await;
-        let second = place.start_without_descriptor(place.a_console(), |text| {
+        let platform = Platform::new("neither", answers("a")).await;
+        let mut first = platform.start().await;
+        let second = platform.start_without_descriptor(platform.free_console_address(), |text| {
             text["settings"]["classes"][0]["name"] = json!("ruling");
         });
         let (code, log) = second.end().await;
         assert!(code == Some(2) && log.contains("cannot listen at"), "{log}");
-        let caller = Caller::connect(&place.world, "c", place.at()).await;
+        let caller = Caller::connect(&platform.world, "c", platform.at()).await;
         caller.say(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
-        place.world.until("it is ready", |s| s.what == What::Other("probed 1".into())).await;
-        assert!(first.runs());
-        // One that can use it gets the same console from the predecessor.
-        let third = place.start_with(first.console, |_| ());
+        platform.world.until("it is ready", |s| s.what == What::Other("probed 1".into())).await;
+        assert!(first.is_running());
+        // A successor that can use the state inherits the same console.
+        let third = platform.start_with(first.console, |_| ());
         let (code, log) = first.end().await;
         assert_eq!(code, Some(0), "{log}");
-        until("it can serve", async || third.call("PING").await.starts_with("SUCCESS")).await;
+        until("the process can serve", async || third.call("PING").await.starts_with("SUCCESS")).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(place.world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(platform.world.answer(&name(1)).await.what, What::Ready("a".into()));
     });
 }
 
-/// A descriptor that is no listening socket is named on one line.
+/// A descriptor that is not a listening socket is reported in one line.
 #[rstest]
 #[case::no_number("three")]
 #[case::not_open("250")]
 #[case::standard_error("2")]
-fn a_bad_descriptor_is_one_line(#[case] descriptor: &str) {
+fn a_bad_descriptor_is_reported_in_one_line(#[case] descriptor: &str) {
     on_one_thread(async {
-        let place = Place::new("descriptor", answers("a")).await;
+        let platform = Platform::new("descriptor", answers("a")).await;
         let mut command = Command::new(env!("CARGO_BIN_EXE_lockpoint"));
-        command.env("ROUTER_CONFIG", place.write_config(|_| ())).env("ROUTER_FD", descriptor);
-        command.env("TMPDIR", &place.dir).env_remove("ROUTER_LISTEN").env_remove("ROUTER_NAME");
+        command.env("ROUTER_CONFIG", platform.write_config(|_| ())).env("ROUTER_FD", descriptor);
+        command.env("TMPDIR", &platform.dir).env_remove("ROUTER_LISTEN").env_remove("ROUTER_NAME");
         let output = command.output().expect("it runs");
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!((output.status.code(), said.lines().count()), (Some(2), 1), "{said}");
@@ -432,99 +441,105 @@
     });
 }
 
-/// What the two say to each other at the end decides whose it is: never both, and never nobody where one still lives.
+/// The last frame decides which process owns the state: never both, and never neither while one of them is alive.
 #[test]
-fn the_last_word_decides_whose_it_is() {
+fn the_last_frame_decides_which_process_owns_the_state() {
     let pair = || {
         let (a, b) = std::os::unix::net::UnixStream::pair().expect("a pair");
-        (TakeoverChannel::to_successor(a).expect("a way"), TakeoverChannel::to_successor(b).expect("a way"))
+        (
+            TakeoverChannel::to_successor(a).expect("a channel"),
+            TakeoverChannel::to_successor(b).expect("a channel"),
+        )
     };
     let (mut old, mut new) = pair();
-    old.say(Kind::Yours, b"").expect("said");
-    assert!(new.take().is_ok());
+    old.send(FrameKind::Released, b"").expect("sent");
+    assert!(new.confirm().is_ok());
     let (mut old, mut new) = pair();
-    old.say(Kind::Keep, b"").expect("said");
+    old.send(FrameKind::Cancel, b"").expect("sent");
     drop(old);
-    assert!(matches!(new.take(), Err(TakeoverError::Kept)));
-    // It was killed after it had handed all over: whoever works on says so first.
+    assert!(matches!(new.confirm(), Err(TakeoverError::Cancelled)));
+    // The predecessor was killed after it had sent the state: one that continues to serve sends `Cancel` first.
     let (old, mut new) = pair();
-    let heard = std::thread::spawn(move || new.take().is_ok());
+    let confirmed = std::thread::spawn(move || new.confirm().is_ok());
     std::thread::sleep(Duration::from_millis(20));
     drop(old);
-    assert!(heard.join().expect("no panic"));
-    // The successor dies before its word: nothing has changed hands.
+    assert!(confirmed.join().expect("no panic"));
+    // The successor dies before it confirms: the state stays with the predecessor.
     let (mut old, new) = pair();
     drop(new);
-    assert!(old.hand_over(b"all", &[]).is_err());
+    assert!(old.send_state(b"all", &[]).is_err());
 }
 
-/// A hand-over with calls that wait: one in its rest, one on a connection that is still coming up, one that is given up in
-/// the moment when the process changes. Each is seen to once, and no rest is cut short.
+/// A takeover with pending calls: one in its delay before the next attempt, one on a connection that is not up yet,
+/// one that its caller gives up during the takeover. Each is handled once, and no delay is cut short.
 #[test]
-fn a_hand_over_with_calls_that_wait() {
+fn a_takeover_with_pending_calls() {
     on_one_thread(async {
-        let place = Place::new("waits", Does::Silent).await;
-        let world = &place.world;
+        let platform = Platform::new("waits", Does::Silent).await;
+        let world = &platform.world;
         let hand = support::Hand::start("s1").await;
         let (late, fill) = support::Hand::full("s2").await;
-        place.bulletin.tell(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
+        platform.bulletin.tell(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
         let long = |text: &mut serde_json::Value| {
             text["settings"]["bounds"]["connect-timeout-us"] = json!(60_000_000u64);
         };
-        let first = place.start_with(place.a_console(), long);
-        until("it can serve", async || first.call("PING").await.starts_with("SUCCESS")).await;
-        until("all are known", async || first.call("INFO").await.contains("controller.members:3|g")).await;
-        let mut wire = hand.greets().await;
-        let caller = Caller::connect(world, "c", place.at()).await;
+        let first = platform.start_with(platform.free_console_address(), long);
+        until("the process can serve", async || first.call("PING").await.starts_with("SUCCESS")).await;
+        until("all call servers are known", async || {
+            first.call("INFO").await.contains("controller.members:3|g")
+        })
+        .await;
+        let mut link = hand.greets().await;
+        let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(2), 9_000, 2, "x").await;
         caller.open(&name(3), 9_000, 0, "x").await;
-        world.until("it is out", set_up(&name(3))).await;
+        world.until("the attempt is out", set_up(&name(3))).await;
         caller.open(&name(1), 9_000, 1, "x").await;
-        assert_eq!(wire.hears("INVITE").await, name(1));
-        let reset = Instant::now();
-        wire.replies(&name(1), 504, "").await;
-        wire.hears("ACK").await;
-        let second = place.start_with(place.a_console(), long);
-        // Said to whichever of the two reads it.
+        assert_eq!(link.hears("INVITE").await, name(1));
+        let refused_at = Instant::now();
+        link.replies(&name(1), 504, "").await;
+        link.hears("ACK").await;
+        let second = platform.start_with(platform.free_console_address(), long);
+        // Read by either of the two processes.
         caller.close(&name(3), 16).await;
         let (code, log) = first.end().await;
         assert_eq!(code, Some(0), "{log}");
-        world.until("the end of the one that was out", is(&name(3), What::Cancel)).await;
-        // The rest that began in one process ends in the other.
+        world.until("the CANCEL of the outstanding attempt", is(&name(3), What::Cancel)).await;
+        // The delay that began in the old process ends in the new one.
         let call = name(1);
-        let again = tokio::select! {
-            call = wire.hears("INVITE") => call,
-            seen = world.until("elsewhere", set_up(&call)) => seen.sid,
+        let retried = tokio::select! {
+            call = link.hears("INVITE") => call,
+            seen = world.until("another server", set_up(&call)) => seen.sid,
         };
-        assert_eq!(again, name(1));
-        assert!(reset.elapsed() >= Duration::from_millis(500), "after {:?}", reset.elapsed());
+        assert_eq!(retried, name(1));
+        assert!(refused_at.elapsed() >= Duration::from_millis(500), "after {:?}", refused_at.elapsed());
         if world.count(set_up(&name(1))) == 0 {
-            wire.answers(&name(1), "y").await;
+            link.answers(&name(1), "y").await;
         } else {
             let text = format!(
                 "SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny",
                 name(1)
             );
-            place.server.say(text.as_bytes());
+            platform.server.say(text.as_bytes());
         }
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
-        // The connection that one process had begun, the other makes.
+        // The new process makes the connection that the old one had begun.
         drop(fill);
         let mut kept = Vec::new();
         loop {
-            let mut wire = late.greets().await;
+            let mut link = late.greets().await;
             if let Ok(Some((method, call))) =
-                tokio::time::timeout(Duration::from_millis(1_000), wire.next()).await
+                tokio::time::timeout(Duration::from_millis(1_000), link.next()).await
             {
                 assert_eq!((method.as_str(), call), ("INVITE", name(2)));
-                wire.answers(&name(2), "z").await;
+                link.answers(&name(2), "z").await;
                 break;
             }
-            kept.push(wire);
+            kept.push(link);
         }
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("z".into()));
         let info = second.call("INFO").await;
-        assert!(info.contains("controller.pending:2|g"), "two stand and nothing waits: {info}");
+        assert!(info.contains("controller.pending:2|g"), "two established, none pending: {info}");
         for n in 1..=3 {
             let finals = |s: &Seen| s.sid == name(n) && matches!(s.what, What::Ready(_) | What::Close(..));
             assert_eq!(world.count(finals), usize::from(n < 3), "call {n}");
