--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,5 +1,6 @@
-//! A caller who has left while its call waited: its set-up is not sent on, wherever it waits and however the caller left.
-//! The call servers are held in the test's hand, so that each call waits where it is meant to until its caller has left.
+//! The set-up of a caller who leaves while its call is pending is not sent to a call server, whatever the call waits
+//! for and however the caller leaves. The tests control the call servers step by step, so that each call waits where
+//! it is meant to until its caller has left.
 
 mod support;
 
@@ -15,37 +16,37 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
-/// No attempt may begin so long after its client closed its connection or cancelled.
-const NO_ATTEMPT_AFTER: Duration = Duration::from_millis(100);
-const REST: Duration = Duration::from_millis(500);
+/// No attempt may begin later than this after its client has closed its connection or cancelled.
+const MAX_ATTEMPT_DELAY: Duration = Duration::from_millis(100);
+const RESEND_DELAY: Duration = Duration::from_millis(500);
 
-fn ask(sid: &str, text: &str) -> String {
+fn open_line(sid: &str, text: &str) -> String {
     let attrs =
         json!({"class": "judge-call", "left": "9000", "key": "7f", "extras": "dest:0;width:1;via:-1"});
     format!("{}\n", json!({"msg": "open", "sid": sid, "attrs": attrs, "text": text}))
 }
 
-fn close(sid: &str) -> String {
+fn close_line(sid: &str) -> String {
     format!("{}\n", json!({"msg": "close", "sid": sid, "attrs": {}, "code": 16}))
 }
 
-async fn asks(at: SocketAddr, sid: &str) -> TcpStream {
+async fn connect_and_open(at: SocketAddr, sid: &str) -> TcpStream {
     let mut stream = TcpStream::connect(at).await.expect("it listens");
-    stream.write_all(ask(sid, "x").as_bytes()).await.expect("written");
+    stream.write_all(open_line(sid, "x").as_bytes()).await.expect("written");
     stream
 }
 
-/// Where a call waits.
+/// What a call waits for.
 #[derive(Debug, Clone, Copy)]
-enum Waits {
-    /// For a connection that comes up.
-    ComingUp,
-    /// For its call server's first word on a new connection.
-    FirstWord,
-    /// On the connection that follows one which ended under it.
-    Moved,
-    /// For what its last attempt held to be released.
-    Rest,
+enum WaitsFor {
+    /// A connection to its call server.
+    Connection,
+    /// Its call server's first message on a new connection.
+    FirstMessage,
+    /// The first message on the connection that replaces the one on which it was to be sent.
+    Reconnection,
+    /// The delay after its last attempt, in which that attempt's resources are released.
+    ResendDelay,
 }
 
 /// How a caller leaves.
@@ -56,10 +57,10 @@
     Resets,
 }
 
-async fn leaves(mut stream: TcpStream, how: Leaves) -> Option<TcpStream> {
+async fn leave(mut stream: TcpStream, how: Leaves) -> Option<TcpStream> {
     match how {
         Leaves::GivesUp => {
-            stream.write_all(close(&name(1)).as_bytes()).await.expect("written");
+            stream.write_all(close_line(&name(1)).as_bytes()).await.expect("written");
             return Some(stream);
         }
         Leaves::Closes => {}
@@ -68,30 +69,33 @@
     None
 }
 
-/// A controller and its call server, with call 1 waiting where it is to wait.
+/// A controller and its call server, with call 1 pending.
 struct Scene {
     world: World,
     controller: Controller,
     _bulletin: std::rc::Rc<Bulletin>,
     hand: Hand,
-    /// Connections on which set-ups may come.
-    wires: Vec<Wire>,
-    /// Whoever fills the call server's queue of connections.
-    fill: Vec<std::net::TcpStream>,
+    /// Connections on which set-ups may arrive.
+    links: Vec<Wire>,
+    /// Connections that fill the call server's backlog.
+    backlog: Vec<std::net::TcpStream>,
 }
 
 impl Scene {
-    async fn with(waits: Waits) -> Scene {
+    async fn with(waits: WaitsFor) -> Scene {
         Scene::with_config(waits, |_| {}).await
     }
 
-    async fn with_config(waits: Waits, change: impl FnOnce(&mut lockpoint::config::InstanceConfig)) -> Scene {
+    async fn with_config(
+        waits: WaitsFor,
+        change: impl FnOnce(&mut lockpoint::config::InstanceConfig),
+    ) -> Scene {
         let world = World::default();
-        let (hand, fill) = match waits {
-            Waits::ComingUp => Hand::full("s0").await,
+        let (hand, backlog) = match waits {
+            WaitsFor::Connection => Hand::full("s0").await,
             _ => (Hand::start("s0").await, Vec::new()),
         };
-        // The connection may take longer than the test: it comes up when the test lets it.
+        // The connect timeout is longer than the test: the connection comes up when the test lets it.
         let long = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = lockpoint::interface::Span::from_millis(60_000);
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -99,74 +103,83 @@
             change(config);
         };
         let (controller, bulletin) = Controller::with_hands(&world, &[&hand], long).await;
-        Scene { world, controller, _bulletin: bulletin, hand, wires: Vec::new(), fill }
+        Scene { world, controller, _bulletin: bulletin, hand, links: Vec::new(), backlog }
     }
 
-    /// Lets call 1, which `asks` makes, come to where it waits.
-    async fn waits<T>(&mut self, waits: Waits, asks: impl AsyncFnOnce(&Controller) -> T) -> T {
+    /// Opens call 1 by `open` and brings it to where it waits.
+    async fn wait_for<T>(&mut self, waits: WaitsFor, open: impl AsyncFnOnce(&Controller) -> T) -> T {
         match waits {
-            Waits::ComingUp => {}
-            Waits::FirstWord => {
-                // A new connection, on which nothing is said.
+            WaitsFor::Connection => {}
+            WaitsFor::FirstMessage => {
+                // A new connection on which the call server sends nothing.
                 self.hand.greets().await.reset();
-                let wire = self.hand.accept().await;
-                self.wires.push(wire);
+                let link = self.hand.accept().await;
+                self.links.push(link);
             }
-            Waits::Moved => self.wires.push(self.hand.accept().await),
-            Waits::Rest => self.wires.push(self.hand.greets().await),
+            WaitsFor::Reconnection => self.links.push(self.hand.accept().await),
+            WaitsFor::ResendDelay => self.links.push(self.hand.greets().await),
         }
-        let caller = asks(&self.controller).await;
-        self.controller.turns("the call is taken", |i| i.counters().taken == 1).await;
+        let caller = open(&self.controller).await;
+        self.controller.turns("the call is accepted", |i| i.counters().taken == 1).await;
         match waits {
-            Waits::Moved => {
-                self.wires.remove(0).reset();
-                let wire = self.hand.accept().await;
-                self.wires.push(wire);
+            WaitsFor::Reconnection => {
+                self.links.remove(0).reset();
+                let link = self.hand.accept().await;
+                self.links.push(link);
             }
-            Waits::Rest => {
-                let wire = &mut self.wires[0];
-                assert_eq!(wire.hears("INVITE").await, name(1));
-                wire.replies(&name(1), 504, "").await;
-                // Read by now: what the call server says next is heard after it.
-                wire.hears("ACK").await;
+            WaitsFor::ResendDelay => {
+                let link = &mut self.links[0];
+                assert_eq!(link.hears("INVITE").await, name(1));
+                link.replies(&name(1), 504, "").await;
+                // The answer has been read by now: later messages of the call server are handled after it.
+                link.hears("ACK").await;
             }
             _ => {}
         }
         caller
     }
 
-    /// Call 1 is over, and nothing of it was sent on later than may be; another call is served.
-    async fn nothing_is_sent_on(mut self, waits: Waits, left: Instant) {
-        self.controller.turns("it is given up", |i| i.counters().open == 0).await;
-        assert!(left.elapsed() < Duration::from_secs(5), "not at once, but when its time was over");
+    /// Checks that call 1 has ended, that none of its attempts was sent too late, and that another call is served.
+    async fn assert_nothing_sent(mut self, waits: WaitsFor, left: Instant) {
+        self.controller.turns("the call is given up", |i| i.counters().open == 0).await;
+        assert!(left.elapsed() < Duration::from_secs(5), "given up only by its time limit");
         let counters = self.controller.instance.counters();
         assert_eq!((counters.given_up, counters.failed, counters.completed), (1, 0, 0));
-        self.fill.clear();
-        if matches!(waits, Waits::Rest) {
-            tokio::time::sleep(REST + Duration::from_millis(100)).await;
+        self.backlog.clear();
+        if matches!(waits, WaitsFor::ResendDelay) {
+            tokio::time::sleep(RESEND_DELAY + Duration::from_millis(100)).await;
         }
-        let other = asks(self.controller.at, &name(2)).await;
-        if matches!(waits, Waits::ComingUp) {
+        let other = connect_and_open(self.controller.at, &name(2)).await;
+        if matches!(waits, WaitsFor::Connection) {
             loop {
-                // Those that filled the queue come first, and say nothing.
-                let mut wire = self.hand.greets().await;
+                // The connections that filled the backlog come first and send nothing.
+                let mut link = self.hand.greets().await;
                 if let Ok(Some((method, call))) =
-                    tokio::time::timeout(Duration::from_millis(1_000), wire.next()).await
+                    tokio::time::timeout(Duration::from_millis(1_000), link.next()).await
                 {
-                    assert_eq!((method.as_str(), call), ("INVITE", name(2)), "the first set-up on it");
+                    assert_eq!(
+                        (method.as_str(), call),
+                        ("INVITE", name(2)),
+                        "the first set-up on the connection"
+                    );
                     break;
                 }
             }
             return drop(other);
         }
-        // On whichever connection the other call comes, it is served, and call 1 came on none, but for what had left.
-        let mut wire = self.wires.pop().expect("a connection");
+        // Whichever connection carries the other call, no attempt of call 1 was sent on it later than allowed.
+        let mut link = self.links.pop().expect("a connection");
         loop {
-            let (method, call) = in_time("the other call", wire.next()).await.expect("the connection stands");
+            let (method, call) =
+                in_time("the other call", link.next()).await.expect("the connection is open");
             match method.as_str() {
                 "INVITE" if call == name(2) => return,
                 "INVITE" => {
-                    assert!(left.elapsed() < NO_ATTEMPT_AFTER, "{call} sent {:?} after", left.elapsed())
+                    assert!(
+                        left.elapsed() < MAX_ATTEMPT_DELAY,
+                        "{call} sent {:?} after its caller had left",
+                        left.elapsed()
+                    )
                 }
                 _ => {}
             }
@@ -174,83 +187,88 @@
     }
 }
 
-/// Guards against work sent to call servers for callers who have left.
+/// Guards against load on call servers for callers who have left.
 #[rstest]
-fn a_caller_who_has_left_has_nothing_sent_on(
-    #[values(Waits::ComingUp, Waits::FirstWord, Waits::Moved, Waits::Rest)] waits: Waits,
+fn no_set_up_is_sent_for_a_caller_who_has_left(
+    #[values(WaitsFor::Connection, WaitsFor::FirstMessage, WaitsFor::Reconnection, WaitsFor::ResendDelay)]
+    waits: WaitsFor,
     #[values(Leaves::GivesUp, Leaves::Closes, Leaves::Resets)] how: Leaves,
 ) {
     on_one_thread(async {
         let mut scene = Scene::with(waits).await;
-        let caller = scene.waits(waits, async |c| asks(c.at, &name(1)).await).await;
-        let kept = leaves(caller, how).await;
-        scene.nothing_is_sent_on(waits, Instant::now()).await;
-        drop(kept);
+        let caller = scene.wait_for(waits, async |c| connect_and_open(c.at, &name(1)).await).await;
+        let open = leave(caller, how).await;
+        scene.assert_nothing_sent(waits, Instant::now()).await;
+        drop(open);
     });
 }
 
-/// The same for callers of the other front.
+/// The same for IAX2 callers.
 #[rstest]
-fn an_iax2_caller_who_has_left_has_nothing_sent_on(
-    #[values(Waits::ComingUp, Waits::FirstWord, Waits::Moved, Waits::Rest)] waits: Waits,
+fn no_set_up_is_sent_for_an_iax2_caller_who_has_left(
+    #[values(WaitsFor::Connection, WaitsFor::FirstMessage, WaitsFor::Reconnection, WaitsFor::ResendDelay)]
+    waits: WaitsFor,
 ) {
     on_one_thread(async {
         let mut scene = Scene::with(waits).await;
         let world = scene.world.clone();
-        let asks = async |c: &Controller| {
+        let open = async |c: &Controller| {
             let caller = IaxCaller::start(&world, "c", c.iax2_at.expect("a port")).await;
             caller.open(&name(1), 9_000, 0, "x");
             caller
         };
-        let caller = scene.waits(waits, asks).await;
+        let caller = scene.wait_for(waits, open).await;
         caller.hang_up(&name(1));
-        scene.nothing_is_sent_on(waits, Instant::now()).await;
+        scene.assert_nothing_sent(waits, Instant::now()).await;
     });
 }
 
-/// A caller who only writes no more, and still reads, has not left: it gets its answer.
+/// A caller who closes only its writing half has not left and gets its answer.
 #[test]
-fn a_caller_who_closes_its_half_is_served() {
+fn a_caller_who_half_closes_its_connection_is_served() {
     on_one_thread(async {
-        let mut scene = Scene::with(Waits::Rest).await;
-        let mut caller = scene.waits(Waits::Rest, async |c| asks(c.at, &name(1)).await).await;
-        caller.shutdown().await.expect("its half is closed");
-        let wire = &mut scene.wires[0];
-        assert_eq!(wire.hears("INVITE").await, name(1), "once more, after the rest");
-        wire.answers(&name(1), "y").await;
+        let mut scene = Scene::with(WaitsFor::ResendDelay).await;
+        let mut caller =
+            scene.wait_for(WaitsFor::ResendDelay, async |c| connect_and_open(c.at, &name(1)).await).await;
+        caller.shutdown().await.expect("half closed");
+        let link = &mut scene.links[0];
+        assert_eq!(link.hears("INVITE").await, name(1), "the next attempt, after the delay");
+        link.answers(&name(1), "y").await;
         let mut heard = String::new();
         in_time("the end", caller.read_to_string(&mut heard)).await.expect("read");
         let last = heard.lines().last().expect("an answer");
         assert!(last.contains("\"ready\"") && last.contains(&name(1)), "{heard}");
         let others = heard.lines().filter(|line| !line.contains("\"trying\"")).count();
-        assert_eq!(others, 1, "one answer, and words that mean nothing: {heard}");
-        // It has read the answer and closes: what it is called for stands.
+        assert_eq!(others, 1, "one answer, and progress messages: {heard}");
+        // The caller has read the answer and closes: its call stays established.
         drop(caller);
-        scene.controller.turns("it is gone", |i| i.counters().clients == 0).await;
+        scene.controller.turns("the connection is removed", |i| i.counters().clients == 0).await;
         assert_eq!(scene.controller.instance.counters().standing, 1);
     });
 }
 
-/// Guards against callers who are turned away for what they sent, read no more, and whose leaving is heard by nobody.
+/// Guards against a caller whose leaving goes unnoticed because its connection is no longer read after a malformed
+/// message.
 #[rstest]
-fn a_caller_who_is_turned_away_and_leaves_has_nothing_sent_on(
+fn no_set_up_is_sent_for_a_caller_who_leaves_after_a_malformed_message(
     #[values(Leaves::GivesUp, Leaves::Closes, Leaves::Resets)] how: Leaves,
 ) {
     on_one_thread(async {
-        let mut scene = Scene::with(Waits::Rest).await;
-        let mut caller = scene.waits(Waits::Rest, async |c| asks(c.at, &name(1)).await).await;
+        let mut scene = Scene::with(WaitsFor::ResendDelay).await;
+        let mut caller =
+            scene.wait_for(WaitsFor::ResendDelay, async |c| connect_and_open(c.at, &name(1)).await).await;
         caller.write_all(b"[]\n").await.expect("written");
-        scene.controller.turns("it is turned away", |i| i.counters().malformed_lines == 1).await;
-        let kept = leaves(caller, how).await;
-        scene.nothing_is_sent_on(Waits::Rest, Instant::now()).await;
-        drop(kept);
+        scene.controller.turns("the message is rejected", |i| i.counters().malformed_lines == 1).await;
+        let open = leave(caller, how).await;
+        scene.assert_nothing_sent(WaitsFor::ResendDelay, Instant::now()).await;
+        drop(open);
     });
 }
 
-/// Guards against set-ups that wait behind others on a connection that takes no more, and against those whose end finds no
-/// room behind them.
+/// Guards against set-ups left queued on a connection whose peer does not read, and against sent ones whose CANCEL
+/// finds no room in the queue.
 #[test]
-fn a_line_of_set_ups_is_taken_back_and_what_had_left_is_given_up() {
+fn queued_set_ups_are_withdrawn_and_sent_ones_are_cancelled() {
     on_one_thread(async {
         let world = World::default();
         let hand = Hand::narrow("s0").await;
@@ -259,24 +277,25 @@
             c.connect_timeout = lockpoint::interface::Span::from_millis(60_000);
         })
         .await;
-        let mut wire = hand.greets().await;
+        let mut link = hand.greets().await;
         let speaks = |i: &lockpoint::instance::Instance| i.counters().connected == 1;
         controller.turns("a connection", speaks).await;
-        let _fill = hand.fill(); // no other comes up beside it
-                                 // It reads nothing from here on. A caller asks for more at once than the connection takes.
+        let _backlog = hand.fill(); // no second connection comes up
+
+        // The call server reads nothing from here on. The caller sends more at once than the connection takes.
         const ALL: u64 = 250;
         let mut caller = TcpStream::connect(controller.at).await.expect("it listens");
-        let all: String = (1..=ALL).map(|n| ask(&name(n), &"y".repeat(14_000))).collect();
+        let all: String = (1..=ALL).map(|n| open_line(&name(n), &"y".repeat(14_000))).collect();
         caller.write_all(all.as_bytes()).await.expect("written");
-        controller.turns("all are taken", |i| i.counters().taken == ALL).await;
+        controller.turns("all are accepted", |i| i.counters().taken == ALL).await;
         drop(caller);
         controller.turns("all are given up", |i| i.counters().open == 0).await;
         let counters = controller.instance.counters();
-        assert!(counters.withdrawn > 0, "some waited: {counters:?}");
+        assert!(counters.withdrawn > 0, "some were still queued: {counters:?}");
         let (mut out, mut seen) = (std::collections::BTreeSet::new(), 0);
         let read = async {
             while seen + counters.withdrawn < counters.invites || !out.is_empty() {
-                let Some((method, call)) = wire.next().await else { break };
+                let Some((method, call)) = link.next().await else { break };
                 match method.as_str() {
                     "INVITE" => {
                         seen += 1;
@@ -288,14 +307,14 @@
             }
         };
         let read_all = tokio::time::timeout(Duration::from_secs(20), read).await;
-        assert!(read_all.is_ok(), "left without an end: {out:?}; {seen} of {counters:?}");
-        assert_eq!(seen + counters.withdrawn, counters.invites, "each left, or was taken back");
+        assert!(read_all.is_ok(), "sent but not cancelled: {out:?}; {seen} of {counters:?}");
+        assert_eq!(seen + counters.withdrawn, counters.invites, "each was sent or withdrawn");
     });
 }
 
-/// Guards against copies of a NEW that a call server has not answered, sent for a caller who has left.
+/// Guards against retransmissions of an unanswered NEW for a caller who has left.
 #[test]
-fn an_unanswered_new_is_not_said_again_once_its_caller_has_left() {
+fn an_unanswered_new_is_not_retransmitted_once_its_caller_has_left() {
     on_one_thread(async {
         let world = World::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
@@ -308,7 +327,7 @@
         config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
         let controller = Controller::start(config).await;
         controller.holds_list().await;
-        let caller = asks(controller.at, &name(1)).await;
+        let caller = connect_and_open(controller.at, &name(1)).await;
         let mut bytes = vec![0; 4_096];
         let mut kind = async || {
             let (n, _) = in_time("a frame", server.recv_from(&mut bytes)).await.expect("heard");
@@ -319,12 +338,12 @@
         };
         assert_eq!(kind().await, Kind::Iax(Iax::New));
         drop(caller);
-        // Copies of it may come until its leaving is known; then its end, and copies of that, to the last.
+        // Retransmissions may come until the leaving is detected; then the HANGUP and its retransmissions.
         let mut ended = 0;
         while ended < 3 {
             match kind().await {
                 Kind::Iax(Iax::Hangup) => ended += 1,
-                Kind::Iax(Iax::New) => assert_eq!(ended, 0, "a NEW after the end"),
+                Kind::Iax(Iax::New) => assert_eq!(ended, 0, "a NEW after the HANGUP"),
                 other => panic!("{other:?}"),
             }
         }
@@ -333,47 +352,47 @@
     });
 }
 
-// ---- How soon a leaving is found -----------------------------------------------------------------------------
+// ---- How soon a leaving is detected -----------------------------------------------------------------------------
 
-/// How the closing of a connection shows here.
+/// How the controller can detect that a connection was closed.
 #[derive(Debug, Clone, Copy)]
-enum Shows {
-    /// The client's system refuses at once what is written after the end of the stream.
+enum Detected {
+    /// The client's system resets the connection on the first write after the end of its stream.
     AtOnce,
-    /// It refuses only so much later, as over a network: until then the connection looks half closed.
+    /// The reset comes only after this time, as over a network: until then the connection looks half closed.
     After(Duration),
-    /// The client had closed its writing half long ago, and leaves without a further word.
-    NothingNew,
-    /// As at once, on a connection that is read seldom for what was said on it.
-    TurnedAway,
+    /// The client closed its writing half long before, so its leaving sends no further segment.
+    WithoutSignal,
+    /// As `AtOnce`, on a connection that is read rarely because of a malformed message.
+    AfterRejection,
 }
 
-/// Clients that each wait for one call, at one place.
-async fn clients_that_wait(scene: &mut Scene, waits: Waits, count: u64) -> Vec<TcpStream> {
+/// Clients with one pending call each, which all wait for the same.
+async fn waiting_clients(scene: &mut Scene, waits: WaitsFor, count: u64) -> Vec<TcpStream> {
     let mut clients = Vec::new();
     match waits {
-        Waits::FirstWord => {
+        WaitsFor::FirstMessage => {
             scene.hand.greets().await.reset();
-            scene.wires.push(scene.hand.accept().await);
+            scene.links.push(scene.hand.accept().await);
         }
-        Waits::Rest => scene.wires.push(scene.hand.greets().await),
-        Waits::ComingUp | Waits::Moved => {}
+        WaitsFor::ResendDelay => scene.links.push(scene.hand.greets().await),
+        WaitsFor::Connection | WaitsFor::Reconnection => {}
     }
     for n in 1..=count {
-        clients.push(asks(scene.controller.at, &name(n)).await);
+        clients.push(connect_and_open(scene.controller.at, &name(n)).await);
     }
-    scene.controller.turns("all are taken", |i| i.counters().taken == count).await;
-    if matches!(waits, Waits::Rest) {
+    scene.controller.turns("all are accepted", |i| i.counters().taken == count).await;
+    if matches!(waits, WaitsFor::ResendDelay) {
         for _ in 1..=scene.controller.instance.counters().attempts {
-            let call = scene.wires[0].hears("INVITE").await;
-            scene.wires[0].replies(&call, 504, "").await;
+            let call = scene.links[0].hears("INVITE").await;
+            scene.links[0].replies(&call, 504, "").await;
         }
     }
     clients
 }
 
-/// Closes a connection as a client does that reads what comes: with bytes unread its system would send a reset at once,
-/// and its leaving would show by that.
+/// Closes a connection after reading everything from it: with unread bytes the client's system would send a reset at
+/// once, which would reveal its leaving.
 fn close_having_read_all(client: TcpStream) {
     use std::io::Read;
     let mut client = client.into_std().expect("a socket");
@@ -381,65 +400,68 @@
     while client.read(&mut unread).is_ok_and(|read| read > 0) {}
 }
 
-/// Closes one client's connection and measures until its call is given up.
-async fn found_after(scene: &Scene, mut client: TcpStream, shows: Shows) -> Duration {
+/// Closes one client's connection and measures the time until its call is given up.
+async fn detection_time(scene: &Scene, mut client: TcpStream, detected: Detected) -> Duration {
     let given_up = scene.controller.instance.counters().given_up;
     assert!(scene.controller.instance.counters().open > 0, "{:?}", scene.controller.instance.counters());
     let closed = Instant::now();
-    if let Shows::After(delay) = shows {
-        client.shutdown().await.expect("its half is closed");
+    if let Detected::After(delay) = detected {
+        client.shutdown().await.expect("half closed");
         tokio::time::sleep(delay).await;
     }
     close_having_read_all(client);
     while scene.controller.instance.counters().given_up == given_up {
-        assert!(closed.elapsed() < Duration::from_secs(5), "never found");
+        assert!(closed.elapsed() < Duration::from_secs(5), "never detected");
         tokio::task::yield_now().await;
     }
     closed.elapsed()
 }
 
-/// Guards against set-ups sent on because a closed connection was taken for a half closed one for too long.
+/// Guards against set-ups sent because a closed connection is taken for a half-closed one for too long.
 #[rstest]
-#[case::coming_up(Waits::ComingUp, Shows::AtOnce, 200)]
-#[case::first_word(Waits::FirstWord, Shows::AtOnce, 200)]
-#[case::rest(Waits::Rest, Shows::AtOnce, 200)]
-#[case::refused_5_ms_later(Waits::ComingUp, Shows::After(Duration::from_millis(5)), 20)]
-#[case::refused_20_ms_later(Waits::ComingUp, Shows::After(Duration::from_millis(20)), 20)]
-#[case::refused_40_ms_later(Waits::ComingUp, Shows::After(Duration::from_millis(40)), 20)]
-#[case::half_closed_long_ago(Waits::ComingUp, Shows::NothingNew, 20)]
-#[case::turned_away(Waits::ComingUp, Shows::TurnedAway, 20)]
-fn a_closing_is_found_before_a_tenth_of_a_second(
-    #[case] waits: Waits,
-    #[case] shows: Shows,
+#[case::connection(WaitsFor::Connection, Detected::AtOnce, 200)]
+#[case::first_message(WaitsFor::FirstMessage, Detected::AtOnce, 200)]
+#[case::resend_delay(WaitsFor::ResendDelay, Detected::AtOnce, 200)]
+#[case::refused_5_ms_later(WaitsFor::Connection, Detected::After(Duration::from_millis(5)), 20)]
+#[case::refused_20_ms_later(WaitsFor::Connection, Detected::After(Duration::from_millis(20)), 20)]
+#[case::refused_40_ms_later(WaitsFor::Connection, Detected::After(Duration::from_millis(40)), 20)]
+#[case::half_closed_long_ago(WaitsFor::Connection, Detected::WithoutSignal, 20)]
+#[case::after_a_malformed_message(WaitsFor::Connection, Detected::AfterRejection, 20)]
+fn a_closed_connection_is_detected_within_a_tenth_of_a_second(
+    #[case] waits: WaitsFor,
+    #[case] detected: Detected,
     #[case] count: u64,
 ) {
     on_one_thread(async {
         let mut scene = Scene::with_config(waits, support::unhurried).await;
-        let mut clients = clients_that_wait(&mut scene, waits, count).await;
-        match shows {
-            Shows::NothingNew => {
+        let mut clients = waiting_clients(&mut scene, waits, count).await;
+        match detected {
+            Detected::WithoutSignal => {
                 for client in &mut clients {
-                    client.shutdown().await.expect("its half is closed");
+                    client.shutdown().await.expect("half closed");
                 }
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
-            Shows::TurnedAway => {
+            Detected::AfterRejection => {
                 for client in &mut clients {
                     client.write_all(b"[]\n").await.expect("written");
                 }
-                scene.controller.turns("all offend", |i| i.counters().malformed_lines == count).await;
+                scene
+                    .controller
+                    .turns("all messages are rejected", |i| i.counters().malformed_lines == count)
+                    .await;
             }
-            Shows::AtOnce | Shows::After(_) => {}
+            Detected::AtOnce | Detected::After(_) => {}
         }
-        let mut found = Vec::new();
+        let mut times = Vec::new();
         for client in clients {
-            found.push(found_after(&scene, client, shows).await);
+            times.push(detection_time(&scene, client, detected).await);
         }
-        found.sort();
-        let (median, most) = (found[found.len() / 2], found[found.len() - 1]);
-        println!("{waits:?}, {shows:?}: {count} closings, p50 {median:?}, max {most:?}");
-        // A machine that stalls for tens of milliseconds may make one in ten late; a slow look makes all of them late.
-        let late = found.iter().filter(|after| **after >= NO_ATTEMPT_AFTER.mul_f64(0.9)).count();
-        assert!(late <= found.len() / 10 && median < NO_ATTEMPT_AFTER.mul_f64(0.6), "{found:?}");
+        times.sort();
+        let (median, most) = (times[times.len() / 2], times[times.len() - 1]);
+        println!("{waits:?}, {detected:?}: {count} closings, p50 {median:?}, max {most:?}");
+        // A machine that stalls for tens of milliseconds may delay one in ten; a slow check would delay all of them.
+        let late = times.iter().filter(|after| **after >= MAX_ATTEMPT_DELAY.mul_f64(0.9)).count();
+        assert!(late <= times.len() / 10 && median < MAX_ATTEMPT_DELAY.mul_f64(0.6), "{times:?}");
     });
 }
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! How soon restarted processes are ready, whatever state discovery is in. The controllers are the real program, many of them
-//! started at once, each with the list of its start in its configuration.
+//! How soon restarted processes are ready in each state of discovery. Many processes of the real program are started
+//! at once, each with an initial list of call servers in its configuration.
 
 #[path = "support/platform.rs"]
 mod platform;
@@ -17,32 +17,32 @@
 
 /// Processes started at once.
 const PROCESSES: usize = 30;
-/// Nine in ten are ready within this, where the day ends soon.
+/// Nine in ten processes must be ready within this.
 const READY_WITHIN: Duration = Duration::from_secs(6);
-/// A discovery that is slow answers this late: beyond the time that an answer is waited for.
-const SLOW: Duration = Duration::from_secs(4);
+/// Delay of a slow discovery, beyond the time for which an answer is awaited.
+const SLOW_ANSWER: Duration = Duration::from_secs(4);
 
-/// What becomes of those who turn to discovery.
+/// State of discovery.
 #[derive(Debug, Clone, Copy)]
 enum Discovery {
-    /// Its machine is gone: connections never come up.
+    /// Its host is down: connections are never established.
     Down,
     /// It answers late.
     Slow,
-    /// It accepts and says nothing.
+    /// It accepts connections and sends nothing.
     Silent,
-    /// Nobody listens there.
+    /// Connections are refused.
     Refused,
 }
 
-/// Where discovery is, and what keeps it in its state.
-struct Place {
+/// Address of discovery, and what keeps it in its state.
+struct DiscoveryServer {
     at: SocketAddr,
     serving: Option<JoinHandle<()>>,
-    _full: Option<(Hand, Vec<std::net::TcpStream>)>,
+    _full_backlog: Option<(Hand, Vec<std::net::TcpStream>)>,
 }
 
-impl Drop for Place {
+impl Drop for DiscoveryServer {
     fn drop(&mut self) {
         if let Some(serving) = self.serving.take() {
             serving.abort();
@@ -50,12 +50,12 @@
     }
 }
 
-async fn place(discovery: Discovery) -> Place {
+async fn start_discovery(discovery: Discovery) -> DiscoveryServer {
     match discovery {
-        Discovery::Refused => Place { at: free_address(), serving: None, _full: None },
+        Discovery::Refused => DiscoveryServer { at: free_address(), serving: None, _full_backlog: None },
         Discovery::Down => {
-            let full = Hand::full("discovery").await;
-            Place { at: full.0.at, serving: None, _full: Some(full) }
+            let backlog = Hand::full("discovery").await;
+            DiscoveryServer { at: backlog.0.at, serving: None, _full_backlog: Some(backlog) }
         }
         Discovery::Slow | Discovery::Silent => {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -70,7 +70,7 @@
                     }
                 }
             });
-            Place { at, serving: Some(serving), _full: None }
+            DiscoveryServer { at, serving: Some(serving), _full_backlog: None }
         }
     }
 }
@@ -78,7 +78,7 @@
 async fn answers_late(mut stream: TcpStream) {
     let mut asked = [0; 1_024];
     while stream.read(&mut asked).await.is_ok_and(|read| read > 0) {
-        tokio::time::sleep(SLOW).await;
+        tokio::time::sleep(SLOW_ANSWER).await;
         let body = json!({"no": 1, "items": []}).to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if stream.write_all(answer.as_bytes()).await.is_err() {
@@ -87,8 +87,8 @@
     }
 }
 
-/// Whether the test that the front makes passes.
-async fn test_passes(at: SocketAddr) -> bool {
+/// Whether the front end's health check passes.
+async fn health_check_passes(at: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(at).await else { return false };
     let probe = json!({"msg": "probe", "sid": name(9_999), "attrs": {}, "code": 0});
     if stream.write_all(format!("{probe}\n").as_bytes()).await.is_err() {
@@ -101,7 +101,7 @@
 }
 
 async fn ready_after(at: SocketAddr, started: Instant) -> Duration {
-    while started.elapsed() < 2 * READY_WITHIN && !test_passes(at).await {
+    while started.elapsed() < 2 * READY_WITHIN && !health_check_passes(at).await {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     started.elapsed()
@@ -112,14 +112,14 @@
     json!({"bulletin": discovery.to_string(), "known": {"no": 1, "items": [event]}, "settings": settings(30)})
 }
 
-/// Guards against a start that waits for a discovery which does not answer.
+/// Guards against a start that waits for a discovery that does not answer.
 #[test]
 fn nine_in_ten_of_thirty_processes_started_at_once_are_ready_whatever_discovery_does() {
     on_one_thread(async {
         let server = Hand::start("s0").await;
         for discovery in [Discovery::Down, Discovery::Slow, Discovery::Silent, Discovery::Refused] {
-            let place = place(discovery).await;
-            let config = config_of(place.at, &[server.host(0, "ready")]);
+            let discovery_server = start_discovery(discovery).await;
+            let config = config_of(discovery_server.at, &[server.host(0, "ready")]);
             let (mut processes, mut waits) = (Vec::new(), Vec::new());
             for n in 0..PROCESSES {
                 let started = Instant::now();
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration under load, on real sockets and with the real program.
+//! Configuration reloads under load, on real sockets and with the real program.
 
 mod support;
 
@@ -16,7 +16,7 @@
     Does::Answer(text.to_owned())
 }
 
-/// Guards against news lost between two bulletins, and against calls or counts lost by a reload.
+/// Guards against updates lost on a change of the bulletin, and against calls or counts lost by a reload.
 #[test]
 fn a_reload_moves_to_the_new_bulletin_and_loses_no_call_and_no_count() {
     on_one_thread(async {
@@ -26,25 +26,26 @@
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         world.answer(&name(1)).await;
-        // The new one carries the numbers on: it has the old events and one that the old one never told.
+        // The new bulletin continues the event numbers: it has the old events and one that the old bulletin never
+        // sent.
         let next = Bulletin::start(&world).await;
         next.tell(true, vec![host("s0", servers[0].at, 0, "ready")]);
         next.tell(false, vec![host("s0", servers[0].at, 0, "gone"), host("s1", other.at, 1, "ready")]);
         assert!(controller.instance.reload(support::config(next.at)).is_empty());
         controller.turns("the new list", |i| i.servers().iter().any(|line| line.host == "s1")).await;
-        // What the old one tells from now on is no news.
+        // Events of the old bulletin are ignored from now on.
         old.tell(false, vec![host("s1", other.at, 1, "gone")]);
         caller.open(&name(2), 2_000, 1, "x").await;
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("b".into()));
         servers[0].release(&name(1), 16);
         let released = |seen: &support::Seen| seen.sid == name(1) && seen.what == What::Close(16, None);
-        world.until("the release of the call that stood before", released).await;
+        world.until("the release of the call established before the reload", released).await;
         let c = controller.instance.counters();
         assert_eq!((c.taken, c.completed, c.clients, c.reloads), (2, 2, 1, 1));
     });
 }
 
-/// What a reload cannot change stays, and is named.
+/// Values that a reload cannot change stay, and their keys are reported.
 #[test]
 fn a_reload_names_what_only_a_restart_can_change() {
     on_one_thread(async {
@@ -61,7 +62,7 @@
     });
 }
 
-/// The program itself, gone with the test.
+/// The real program, killed at the end of its test.
 struct Program(Child);
 
 impl Program {
@@ -84,9 +85,9 @@
     std::fs::write(file, text.to_string()).expect("written");
 }
 
-/// Guards against a program that ends on SIGHUP, and against a bad file taking the place of a good one.
+/// Guards against a program that ends on SIGHUP, and against a bad file that replaces a good configuration.
 #[test]
-fn sighup_rereads_the_file_and_a_bad_one_is_reported_and_the_old_one_kept() {
+fn sighup_reloads_the_file_and_a_bad_file_is_reported_and_ignored() {
     let file = std::env::temp_dir().join(format!("lockpoint-reload-{}.json", std::process::id()));
     let bulletin = || TcpListener::bind("127.0.0.1:0").expect("a port");
     let (first, second) = (bulletin(), bulletin());
@@ -112,7 +113,7 @@
     let _ = std::fs::remove_file(&file);
 }
 
-/// SIGTERM in the first moments, while the program still reads its file: it is heard, and the program ends in order.
+/// Guards against a SIGTERM that is lost, or kills the program, while it still reads its file at the start.
 #[test]
 fn sigterm_while_the_file_is_still_read_ends_the_program_in_order() {
     let file = std::env::temp_dir().join(format!("lockpoint-early-{}.fifo", std::process::id()));
@@ -123,7 +124,7 @@
     command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_LISTEN").env_remove("ROUTER_NAME");
     command.env_remove("ROUTER_FD").env_remove("ROUTER_CONSOLE");
     let mut program = Program(command.stderr(Stdio::piped()).spawn().expect("it starts"));
-    // It has the file open, and waits for what is in it: nobody has written anything.
+    // The program has the file open and waits for its content.
     let mut writer = std::fs::OpenOptions::new().write(true).open(&file).expect("it reads");
     program.signal("-TERM");
     let at = bulletin.local_addr().expect("an address").to_string();
