--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,8 +1,8 @@
 //! Signals from the platform and the operator, received through a pipe.
 //!
-//! The async runtime's own signal driver wakes itself through a Unix socket pair, but the fleet's acceptance test
-//! allows TCP and UDP sockets only. Here the handler (`signal-hook`, async-signal-safe) writes one byte to the write
-//! end of a pipe, and the runtime waits for the read end like for any other descriptor.
+//! The async runtime's own signal driver wakes itself through a Unix socket pair, but the fleet's standing test (see
+//! `tests/standing.rs`) allows TCP and UDP sockets only. Here the handler (`signal-hook`, async-signal-safe) writes one
+//! byte to the write end of a pipe, and the runtime waits for the read end like for any other descriptor.
 
 use std::io::{self, PipeReader, Read};
 
