--- a/crates/lockpoint-lab/src/iax2.rs
+++ b/crates/lockpoint-lab/src/iax2.rs
@@ -9,7 +9,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-use lockpoint::front::iax2::door::{Door, Entry};
+use lockpoint::front::iax2::call_token_gate::{Admission, CallTokenGate};
 use lockpoint::iax2::auth::{Account, Authenticator, IssuedChallenge};
 use lockpoint::iax2::describe::description_of;
 use lockpoint::iax2::frame::{ie, parse, Control, Datagram, Elements, Frame, Iax, Kind};
@@ -226,7 +226,7 @@
     /// It hears and says nothing.
     pub silent: Cell<bool>,
     /// Whom it lets in.
-    pub door: RefCell<Door>,
+    pub door: RefCell<CallTokenGate>,
     /// Asks the controller who it is, where it is set.
     pub examiner: RefCell<Option<Authenticator>>,
     asked: RefCell<BTreeMap<u16, IssuedChallenge>>,
@@ -264,7 +264,7 @@
             at: wire.socket.local_addr().expect("an address"),
             does: RefCell::new(does),
             silent: Cell::new(false),
-            door: RefCell::new(Door::new(TokenPolicy::Off, [5; 32])),
+            door: RefCell::new(CallTokenGate::new(TokenPolicy::Off, [5; 32])),
             examiner: RefCell::default(),
             asked: RefCell::default(),
             account: RefCell::default(),
@@ -317,11 +317,11 @@
     fn through(self: &Rc<Self>, from: SocketAddr, frame: &Frame) {
         let sid = frame.elements.variable("callid").unwrap_or_default();
         if frame.kind == Kind::Iax(Iax::New) && !self.mute() {
-            let entry = self.door.borrow().look(from, frame, now());
-            if let Entry::Answered(answer) = &entry {
+            let entry = self.door.borrow().check(from, frame, now());
+            if let Admission::Reply(answer) = &entry {
                 self.wire.send(vec![(from, answer.bytes())]);
             }
-            if entry != Entry::In {
+            if entry != Admission::Admitted {
                 return;
             }
         }
--- a/crates/lockpoint-lab/src/relay.rs
+++ b/crates/lockpoint-lab/src/relay.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use clap::Args;
-use lockpoint::upstream::sip::message::{parse, Start};
+use lockpoint::upstream::sip::message::{parse, StartLine};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -106,11 +106,13 @@
             used += length;
             let sid = message.call_id;
             let line = match (&message.start, message.cseq.1.as_str()) {
-                (Start::Answer(200), "INVITE") => {
+                (StartLine::Response(200), "INVITE") => {
                     json!({"msg": "ready", "sid": sid, "attrs": {}, "text": String::from_utf8_lossy(&message.body)})
                 }
-                (Start::Answer(_), "INVITE") => json!({"msg": "close", "sid": sid, "attrs": {}, "code": 34}),
-                (Start::Request(method), _) if method == "BYE" => {
+                (StartLine::Response(_), "INVITE") => {
+                    json!({"msg": "close", "sid": sid, "attrs": {}, "code": 34})
+                }
+                (StartLine::Request(method), _) if method == "BYE" => {
                     json!({"msg": "close", "sid": sid, "attrs": {}, "code": message.cause})
                 }
                 _ => continue,
--- a/crates/lockpoint-lab/src/sip.rs
+++ b/crates/lockpoint-lab/src/sip.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use lockpoint::core::Sid;
-use lockpoint::upstream::sip::message::{self, Start};
+use lockpoint::upstream::sip::message::{self, StartLine};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
@@ -147,7 +147,7 @@
     }
 
     fn take(self: &Rc<Self>, m: &message::Message, writer: &Writer) {
-        let Start::Request(method) = &m.start else {
+        let StartLine::Request(method) = &m.start else {
             if m.cseq.1 == "BYE" {
                 self.unheard.borrow_mut().remove(&m.call_id);
             }
--- a/src/config.rs
+++ b/src/config.rs
@@ -20,7 +20,7 @@
 use crate::interface::Span;
 use crate::logs::LogConfig;
 use crate::net::peers::Peers;
-use crate::net::pool::BUFFER;
+use crate::net::pool::BUFFER_BYTES;
 use crate::secrets;
 use crate::wire::parse_settings;
 pub use replication::ReplicationConfig;
@@ -426,7 +426,7 @@
     }
     /// Buffers that may be lent at once.
     pub fn buffers(&self) -> usize {
-        self.eighth() / BUFFER
+        self.eighth() / BUFFER_BYTES
     }
     /// Calls that may be owed an answer at once, at most as many as the settings say: about a KB each, descriptions
     /// not counted.
@@ -497,7 +497,7 @@
         inherited: None,
         console: form.console,
         peer_listen: form.peer_listen,
-        peers: Peers { each: form.peers, all: form.peers_all },
+        peers: Peers { addresses: form.peers, broadcast: form.peers_all },
         iax2: None,
         secrets: Iax2Secrets::default(),
         dns_sd: None,
@@ -725,7 +725,7 @@
         inherited: None,
         console: form.console,
         peer_listen: form.fleet.as_ref().map(|fleet| fleet.listen),
-        peers: Peers { each: form.fleet.map(|fleet| fleet.peers).unwrap_or_default(), all: None },
+        peers: Peers { addresses: form.fleet.map(|fleet| fleet.peers).unwrap_or_default(), broadcast: None },
         secrets,
         iax2: form.iax2,
         dns_sd: form.dns_sd,
--- a/src/console.rs
+++ b/src/console.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use crate::net::conn::part_unheard;
+use crate::net::conn::close_discarding_input;
 
 /// The longest line that is read.
 const LONGEST: usize = 128;
@@ -185,7 +185,7 @@
                     };
                     if matches!(timeout(READ_WITHIN, tell(&stream, &told.to_string())).await, Ok(Ok(()))) {
                         // Guards against a reset that destroys the answer where more had come than was read.
-                        part_unheard(&stream).await;
+                        close_discarding_input(&stream).await;
                     }
                 });
                 // A crowd at this door must not keep callers waiting.
--- a/src/directory/bulletin.rs
+++ b/src/directory/bulletin.rs
@@ -46,7 +46,7 @@
     /// Lines and events that could not be read.
     pub malformed: u64,
     /// The last event up to which everything was read; where it holds none, what was known before.
-    pub sound_to: u64,
+    pub parsed_to: u64,
     /// Why the first of what could not be read could not.
     pub why: Option<String>,
 }
@@ -66,21 +66,21 @@
 
 /// What is taken of a page.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Taken {
+pub struct PageUpdate {
     /// The changes, in order.
     pub changes: Vec<Change>,
     /// What could not be read and is asked for again, or is passed over.
-    pub spoilt: Option<Spoilt>,
+    pub malformed: Option<MalformedEvents>,
 }
 
 /// Something of a page that could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("what follows its event {after} cannot be read: {why}")]
-pub struct Spoilt {
+pub struct MalformedEvents {
     /// The last event before it.
     pub after: u64,
     /// Lines and events that are passed over; none: they are asked for again.
-    pub passed_over: Option<u64>,
+    pub skipped: Option<u64>,
     /// Why.
     pub why: String,
 }
@@ -95,35 +95,38 @@
         self.after
     }
     /// Takes what a page tells beyond the last event taken.
-    pub fn take(&mut self, mut page: Page) -> Taken {
+    pub fn take(&mut self, mut page: Page) -> PageUpdate {
         page.changes.retain(|change| change.no > self.after);
-        let last = page.changes.last().map_or(0, |change| change.no).max(page.sound_to);
+        let last = page.changes.last().map_or(0, |change| change.no).max(page.parsed_to);
         let Some(why) = page.why else {
             if last > self.after {
                 *self = Cursor::at(last);
-                return Taken { changes: page.changes, spoilt: None };
+                return PageUpdate { changes: page.changes, malformed: None };
             }
             // One that has told everything says the number it was asked with, or one below it where it is behind.
-            let spoilt = (page.no > self.after).then(|| Spoilt {
+            let malformed = (page.no > self.after).then(|| MalformedEvents {
                 after: self.after,
-                passed_over: None,
+                skipped: None,
                 why: format!("{} is said to be the last, and none is told", page.no),
             });
-            return Taken { changes: Vec::new(), spoilt };
+            return PageUpdate { changes: Vec::new(), malformed };
         };
-        if page.sound_to > self.after {
-            *self = Cursor::at(page.sound_to);
+        if page.parsed_to > self.after {
+            *self = Cursor::at(page.parsed_to);
         }
         self.asked += 1;
         let after = self.after;
         if self.asked < ASKED {
-            page.changes.retain(|change| change.no <= page.sound_to);
-            return Taken { changes: page.changes, spoilt: Some(Spoilt { after, passed_over: None, why }) };
+            page.changes.retain(|change| change.no <= page.parsed_to);
+            return PageUpdate {
+                changes: page.changes,
+                malformed: Some(MalformedEvents { after, skipped: None, why }),
+            };
         }
         // Where not one number can be read, the page's own is all there is; it holds for the next event at most.
         *self = Cursor::at(if last > after { last } else { page.no.clamp(after, after + 1) });
-        let spoilt = Some(Spoilt { after, passed_over: Some(page.malformed), why });
-        Taken { changes: page.changes, spoilt }
+        let malformed = Some(MalformedEvents { after, skipped: Some(page.malformed), why });
+        PageUpdate { changes: page.changes, malformed }
     }
 }
 
@@ -141,7 +144,7 @@
     Page(String),
     /// Part of the page cannot be read, and is asked for again.
     #[error("the bulletin's page: {0}")]
-    Spoilt(Spoilt),
+    Malformed(MalformedEvents),
 }
 
 #[derive(Deserialize)]
@@ -202,7 +205,7 @@
             }
         }
         if page.why.is_none() {
-            page.sound_to = page.sound_to.max(item.no);
+            page.parsed_to = page.parsed_to.max(item.no);
         }
         if let Some(roster) = item.roster {
             page.changes.push(Change { no: item.no, whole: roster.whole, hosts });
@@ -239,7 +242,7 @@
 
 /// Takes the answer at the start of `bytes`: its body and its length, or `None` while it is not whole. `ended`: the
 /// other side writes no more.
-pub fn parse_answer(bytes: &[u8], ended: bool) -> Result<Option<(Vec<u8>, usize)>, BulletinError> {
+pub fn parse_response(bytes: &[u8], ended: bool) -> Result<Option<(Vec<u8>, usize)>, BulletinError> {
     let bad = |what: &str| BulletinError::Http(what.to_owned());
     let mut slots = [httparse::EMPTY_HEADER; 32];
     let mut answer = httparse::Response::new(&mut slots);
@@ -337,7 +340,7 @@
         let mut ended = false;
         let mut whole_by = Instant::now() + Duration::from_millis(PATIENCE_MS) + WHOLE_WITHIN;
         let body = loop {
-            if let Some((body, used)) = parse_answer(&bytes, ended)? {
+            if let Some((body, used)) = parse_response(&bytes, ended)? {
                 bytes.drain(..used);
                 break body;
             }
--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -34,30 +34,30 @@
     Socket(String),
     /// It did not answer in time.
     #[error("the resolver did not answer in time")]
-    Late,
+    TimedOut,
     /// It answered with an error.
     #[error("the resolver answered {0}")]
-    Code(String),
+    ResponseCode(String),
     /// A name cannot be asked for.
     #[error("'{0}' is no name")]
     Name(String),
 }
 
-/// What one question brought; no record of the kind where the name does not exist.
+/// What one query brought; no record of the kind where the name does not exist.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Answer {
+pub struct Response {
     /// Records of the answer, and further ones that came along.
     pub records: Vec<Record>,
 }
 
-impl Answer {
+impl Response {
     fn of<'a>(&'a self, name: &'a Name, kind: RecordType) -> impl Iterator<Item = &'a Record> {
         self.records.iter().filter(move |r| r.record_type() == kind && r.name == *name)
     }
 }
 
-/// A question's bytes.
-pub fn question(id: u16, name: &Name, kind: RecordType) -> Option<Vec<u8>> {
+/// A query's bytes.
+pub fn query(id: u16, name: &Name, kind: RecordType) -> Option<Vec<u8>> {
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.metadata.recursion_desired = true;
     message.add_query(Query::query(name.clone(), kind));
@@ -67,8 +67,13 @@
     message.to_vec().ok()
 }
 
-/// Reads an answer; `None` if it is not one to this question, or cannot be read.
-pub fn answer_to(id: u16, name: &Name, kind: RecordType, bytes: &[u8]) -> Option<Result<Answer, DnsError>> {
+/// Reads an answer; `None` if it is not one to this query, or cannot be read.
+pub fn parse_response(
+    id: u16,
+    name: &Name,
+    kind: RecordType,
+    bytes: &[u8],
+) -> Option<Result<Response, DnsError>> {
     let message = Message::from_vec(bytes).ok()?;
     let asked = message.queries.first()?;
     let fits = message.metadata.id == id
@@ -79,18 +84,22 @@
         return None;
     }
     Some(match message.metadata.response_code {
-        _ if message.metadata.truncation => Err(DnsError::Code("a truncated message".to_owned())),
+        _ if message.metadata.truncation => Err(DnsError::ResponseCode("a truncated message".to_owned())),
         ResponseCode::NoError => {
             let records = message.answers.into_iter().chain(message.additionals);
-            Ok(Answer { records: records.collect() })
+            Ok(Response { records: records.collect() })
         }
-        ResponseCode::NXDomain => Ok(Answer::default()),
-        other => Err(DnsError::Code(other.to_string())),
+        ResponseCode::NXDomain => Ok(Response::default()),
+        other => Err(DnsError::ResponseCode(other.to_string())),
     })
 }
 
 /// The line that an instance's records make, and how long it holds. `None` if they make none.
-pub fn line_of(instance: &Name, answer: &Answer, zones: &[String]) -> Option<(DirectoryEntry, Duration)> {
+pub fn entry_from_records(
+    instance: &Name,
+    answer: &Response,
+    zones: &[String],
+) -> Option<(DirectoryEntry, Duration)> {
     let srv = answer.of(instance, RecordType::SRV).next()?;
     let RData::SRV(service) = &srv.data else { return None };
     let mut ttl = srv.ttl;
@@ -148,11 +157,11 @@
 
 /// What is held of the service: each instance's line until its records' life is over.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct ServiceCache {
     lines: BTreeMap<Name, (DirectoryEntry, Instant)>,
 }
 
-impl Held {
+impl ServiceCache {
     /// A round's findings: an instance that the PTR records no longer name has left.
     pub fn update(&mut self, named: &[Name], found: Vec<(Name, DirectoryEntry, Duration)>, now: Instant) {
         self.lines.retain(|name, _| named.contains(name));
@@ -169,7 +178,7 @@
         self.lines.values().map(|(line, _)| line.clone()).collect()
     }
     /// When the first of them must be looked at again.
-    pub fn renew_in(&self, now: Instant) -> Duration {
+    pub fn refresh_in(&self, now: Instant) -> Duration {
         let first = self.lines.values().map(|(_, until)| until.saturating_duration_since(now)).min();
         first.unwrap_or(AGAIN * 4).mul_f64(RENEW_AT).max(AGAIN)
     }
@@ -178,15 +187,15 @@
 /// What following a service has come to. It outlives a watch that ends because the configuration is read anew: what has
 /// left, or outlives its records, while nobody watches is told by the next one.
 #[derive(Debug, Default)]
-pub struct Watch {
-    held: Held,
+pub struct ServiceState {
+    held: ServiceCache,
     told: Option<Vec<DirectoryEntry>>,
     id: u16,
 }
 
-impl Watch {
+impl ServiceState {
     /// Nobody watches any more; whether call servers had been told, which have left with that.
-    pub fn ends(&mut self) -> bool {
+    pub fn stop(&mut self) -> bool {
         std::mem::take(self).told.is_some_and(|told| !told.is_empty())
     }
 }
@@ -197,13 +206,13 @@
     resolver: SocketAddr,
     service: String,
     zones: Vec<String>,
-    Watch { held, told, id }: &mut Watch,
+    ServiceState { held, told, id }: &mut ServiceState,
     mut take: impl FnMut(Vec<DirectoryEntry>),
     mut heard: impl FnMut(Result<(), DnsError>),
 ) {
     loop {
         let round = round(resolver, &service, &zones, id, held).await;
-        let wait = if round.is_ok() { held.renew_in(Instant::now()) } else { AGAIN };
+        let wait = if round.is_ok() { held.refresh_in(Instant::now()) } else { AGAIN };
         heard(round);
         held.expire(Instant::now());
         let lines = held.lines();
@@ -221,7 +230,7 @@
     service: &str,
     zones: &[String],
     id: &mut u16,
-    held: &mut Held,
+    held: &mut ServiceCache,
 ) -> Result<(), DnsError> {
     let broken = |e: std::io::Error| DnsError::Socket(e.to_string());
     let any = if resolver.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
@@ -254,7 +263,7 @@
                 all.records.extend(ask(&socket, id, &target, RecordType::A).await?.records);
             }
         }
-        if let Some((line, life)) = line_of(instance, &all, zones) {
+        if let Some((line, life)) = entry_from_records(instance, &all, zones) {
             found.push((instance.clone(), line, life.min(Duration::from_secs(u64::from(*ptr_ttl)))));
         }
     }
@@ -264,20 +273,20 @@
     Ok(())
 }
 
-async fn ask(socket: &UdpSocket, id: &mut u16, name: &Name, kind: RecordType) -> Result<Answer, DnsError> {
+async fn ask(socket: &UdpSocket, id: &mut u16, name: &Name, kind: RecordType) -> Result<Response, DnsError> {
     let broken = |e: std::io::Error| DnsError::Socket(e.to_string());
     *id = id.wrapping_add(1);
-    let bytes = question(*id, name, kind).ok_or_else(|| DnsError::Name(name.to_ascii()))?;
+    let bytes = query(*id, name, kind).ok_or_else(|| DnsError::Name(name.to_ascii()))?;
     socket.send(&bytes).await.map_err(broken)?;
     let mut buffer = vec![0; usize::from(PAYLOAD)];
     let answered = timeout(PATIENCE, async {
         loop {
             let n = socket.recv(&mut buffer).await.map_err(broken)?;
-            // A datagram that is no answer to this question is passed over.
-            if let Some(answer) = answer_to(*id, name, kind, &buffer[..n]) {
+            // A datagram that is no answer to this query is passed over.
+            if let Some(answer) = parse_response(*id, name, kind, &buffer[..n]) {
                 return answer;
             }
         }
     });
-    answered.await.map_err(|_| DnsError::Late)?
+    answered.await.map_err(|_| DnsError::TimedOut)?
 }
--- a/src/front/iax2/door.rs
+++ b/src/front/iax2/call_token_gate.rs
@@ -14,18 +14,18 @@
 
 /// What becomes of a NEW.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Entry {
+pub enum Admission {
     /// It is taken.
-    In,
+    Admitted,
     /// It is answered, and forgotten.
-    Answered(Frame),
+    Reply(Frame),
     /// Whoever sent it cannot be who he says: he gets no answer.
     Dropped(TokenError),
 }
 
 /// The door.
 #[derive(Debug, Clone)]
-pub struct Door {
+pub struct CallTokenGate {
     tokens: TokenPolicy,
     minter: TokenIssuer,
 }
@@ -35,10 +35,10 @@
     Frame { source: NO_CALL, kind: Kind::Iax(iax), elements, ..new.inval() }
 }
 
-impl Door {
+impl CallTokenGate {
     /// A door that asks for tokens or not; `secret` is known to nobody else.
-    pub fn new(tokens: TokenPolicy, secret: [u8; 32]) -> Door {
-        Door { tokens, minter: TokenIssuer::new(secret) }
+    pub fn new(tokens: TokenPolicy, secret: [u8; 32]) -> CallTokenGate {
+        CallTokenGate { tokens, minter: TokenIssuer::new(secret) }
     }
 
     /// From now on it asks for tokens or not. Those that were given stay good.
@@ -47,26 +47,26 @@
     }
 
     /// Looks at a NEW of a call that is not known.
-    pub fn look(&self, from: SocketAddr, new: &Frame, now: Time) -> Entry {
+    pub fn check(&self, from: SocketAddr, new: &Frame, now: Time) -> Admission {
         let shown = match (self.tokens, new.elements.get(ie::CALLTOKEN)) {
-            (TokenPolicy::Off, _) | (TokenPolicy::Asked, None) => return Entry::In,
+            (TokenPolicy::Off, _) | (TokenPolicy::Asked, None) => return Admission::Admitted,
             (TokenPolicy::Required, None) => {
                 let elements = Elements::default()
                     .with(ie::CAUSE, b"a call token is required")
                     .with(ie::CAUSE_CODE, &[CAUSE_REJECTED]);
                 let reject = if new.kind == Kind::Iax(Iax::New) { Iax::Reject } else { Iax::RegRej };
-                return Entry::Answered(answer(new, reject, elements));
+                return Admission::Reply(answer(new, reject, elements));
             }
             (_, Some(shown)) => shown,
         };
         match self.minter.verify(from, shown, now) {
-            Ok(()) => Entry::In,
+            Ok(()) => Admission::Admitted,
             // It asks for one, or shows one that was good a while ago: it hears what is sent to it.
             Err(TokenError::Expired | TokenError::Length(0)) => {
                 let elements = Elements::default().with(ie::CALLTOKEN, &self.minter.issue(from, now));
-                Entry::Answered(answer(new, Iax::CallToken, elements))
+                Admission::Reply(answer(new, Iax::CallToken, elements))
             }
-            Err(error) => Entry::Dropped(error),
+            Err(error) => Admission::Dropped(error),
         }
     }
 }
@@ -102,14 +102,14 @@
         for (tokens, without) in
             [(TokenPolicy::Off, true), (TokenPolicy::Asked, true), (TokenPolicy::Required, false)]
         {
-            let mut door = Door::new(TokenPolicy::Off, [1; 32]);
+            let mut door = CallTokenGate::new(TokenPolicy::Off, [1; 32]);
             door.reconfigure(tokens);
-            let entry = door.look(from, &plain, now);
-            assert_eq!(entry == Entry::In, without, "{tokens:?}");
-            if let Entry::Answered(reject) = entry {
+            let entry = door.check(from, &plain, now);
+            assert_eq!(entry == Admission::Admitted, without, "{tokens:?}");
+            if let Admission::Reply(reject) = entry {
                 assert_eq!((reject.kind, reject.dest, reject.iseq), (Kind::Iax(Iax::Reject), 9, 1));
             }
-            let Entry::Answered(given) = door.look(from, &showing(b""), now) else {
+            let Admission::Reply(given) = door.check(from, &showing(b""), now) else {
                 assert_eq!(tokens, TokenPolicy::Off);
                 continue;
             };
@@ -117,12 +117,15 @@
             // No more is sent than came: the door is no amplifier.
             assert!(given.bytes().len() <= 48);
             let token = given.elements.get(ie::CALLTOKEN).expect("a token");
-            assert_eq!(door.look(from, &showing(token), now), Entry::In);
+            assert_eq!(door.check(from, &showing(token), now), Admission::Admitted);
             let elsewhere = SocketAddr::from(([127, 0, 0, 2], 7));
-            assert_eq!(door.look(elsewhere, &showing(token), now), Entry::Dropped(TokenError::Mismatch));
+            assert_eq!(door.check(elsewhere, &showing(token), now), Admission::Dropped(TokenError::Mismatch));
             let later = now.plus(Span::from_millis(60_000));
-            assert!(matches!(door.look(from, &showing(token), later), Entry::Answered(_)));
-            assert_eq!(door.look(from, &showing(&token[1..]), now), Entry::Dropped(TokenError::Length(23)));
+            assert!(matches!(door.check(from, &showing(token), later), Admission::Reply(_)));
+            assert_eq!(
+                door.check(from, &showing(&token[1..]), now),
+                Admission::Dropped(TokenError::Length(23))
+            );
         }
     }
 }
--- a/src/front/iax2/mod.rs
+++ b/src/front/iax2/mod.rs
@@ -1,7 +1,7 @@
 //! IAX2 callers: call boxes and judge desks, each call a leg of its own. Signalling only.
 
-pub mod door;
-mod registers;
+pub mod call_token_gate;
+mod outbound_registration;
 pub mod registration;
 
 use std::collections::BTreeMap;
@@ -18,9 +18,9 @@
 use crate::iax2::registrar::Registrar;
 use crate::iax2::tokens::TokenPolicy;
 use crate::interface::{Cell, Span, Time};
-use crate::upstream::Todo;
-use door::{Door, Entry};
-use registers::Registers;
+use crate::upstream::AdapterOutput;
+use call_token_gate::{Admission, CallTokenGate};
+use outbound_registration::OutboundRegistrations;
 
 /// Q.850: the number has no valid form.
 const CAUSE_BAD_NUMBER: u16 = 28;
@@ -40,7 +40,7 @@
 
 /// What a caller need not say.
 #[derive(Debug, Clone)]
-pub struct Usual {
+pub struct Defaults {
     /// Class of a call whose NEW names no context.
     pub class: Rc<str>,
     /// How long a caller waits who does not say so.
@@ -59,7 +59,7 @@
     /// Datagrams that could not be read, or a NEW that was no set-up.
     pub malformed: u64,
     /// NEWs of calls not known before.
-    pub news: u64,
+    pub new_frames: u64,
     /// NEWs for which no leg was left.
     pub turned_away: u64,
     /// NEWs answered with a call token, or rejected for knowing of none; nothing is kept of them.
@@ -94,20 +94,20 @@
     legs: Legs<Caller>,
     of_client: BTreeMap<u64, u16>,
     next: u64,
-    usual: Usual,
-    door: Door,
+    usual: Defaults,
+    door: CallTokenGate,
     examiner: Option<Authenticator>,
     /// Callers who were asked who they are, and what they want.
     examined: BTreeMap<u64, Examined>,
     registrar: Registrar,
-    registers: Registers,
+    registers: OutboundRegistrations,
     /// What was done so far.
     pub counts: FrontCounts,
 }
 
 impl Callers {
     /// A front without a caller.
-    pub fn new(usual: Usual, door: Door) -> Self {
+    pub fn new(usual: Defaults, door: CallTokenGate) -> Self {
         let (legs, counts) = (Legs::default(), FrontCounts::default());
         let (of_client, examined) = (BTreeMap::new(), BTreeMap::new());
         Self {
@@ -119,13 +119,13 @@
             examiner: None,
             examined,
             registrar: Registrar::default(),
-            registers: Registers::default(),
+            registers: OutboundRegistrations::default(),
             counts,
         }
     }
 
     /// From now on callers are asked who they are, or no longer. `key`: see [`Authenticator::new`].
-    pub fn examine(&mut self, users: Option<&Users>, key: [u8; 32]) {
+    pub fn set_users(&mut self, users: Option<&Users>, key: [u8; 32]) {
         match (users.cloned(), &mut self.examiner) {
             (Some(users), Some(examiner)) => examiner.reconfigure(users),
             (Some(users), none) => *none = Some(Authenticator::new(users, key)),
@@ -134,7 +134,7 @@
     }
 
     /// How long a caller waits who does not say so.
-    pub fn usual_left(&self) -> Span {
+    pub fn default_left(&self) -> Span {
         self.usual.left
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// A datagram came.
-    pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Time, todo: &mut Todo) {
+    pub fn handle_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Time, todo: &mut AdapterOutput) {
         self.counts.received += 1;
         let frame = match parse(bytes) {
             Ok(Datagram::Full(frame)) => frame,
@@ -180,14 +180,14 @@
         }
     }
 
-    fn set_up(&mut self, from: SocketAddr, new: &Frame, now: Time, todo: &mut Todo) {
-        match self.door.look(from, new, now) {
-            Entry::In => {}
-            Entry::Answered(frame) => {
+    fn set_up(&mut self, from: SocketAddr, new: &Frame, now: Time, todo: &mut AdapterOutput) {
+        match self.door.check(from, new, now) {
+            Admission::Admitted => {}
+            Admission::Reply(frame) => {
                 self.counts.tokens_asked += 1;
                 return todo.to_callers.push((from, frame.bytes()));
             }
-            Entry::Dropped(error) => {
+            Admission::Dropped(error) => {
                 self.counts.tokens_refused += 1;
                 tracing::debug!(%from, %error, "a NEW was passed over");
                 return;
@@ -198,7 +198,7 @@
         }
         let Some((no, client)) = self.leg_for(from, new, now, todo) else { return };
         let Some(&Caller { sid, .. }) = self.legs.owner(no) else { return };
-        self.counts.news += 1;
+        self.counts.new_frames += 1;
         match self.set_up_of(sid, new) {
             Some(set_up) => match &mut self.examiner {
                 Some(examiner) => {
@@ -220,7 +220,13 @@
     }
 
     /// A leg for a first frame: its number, and the caller's.
-    fn leg_for(&mut self, from: SocketAddr, first: &Frame, now: Time, todo: &mut Todo) -> Option<(u16, u64)> {
+    fn leg_for(
+        &mut self,
+        from: SocketAddr,
+        first: &Frame,
+        now: Time,
+        todo: &mut AdapterOutput,
+    ) -> Option<(u16, u64)> {
         self.next += 1;
         let client = self.next;
         let named = first.elements.variable("callid").and_then(|name| Sid::parse(&name));
@@ -234,7 +240,7 @@
         Some((no?, client))
     }
 
-    fn open(&mut self, client: u64, no: u16, set_up: SetUp, todo: &mut Todo) {
+    fn open(&mut self, client: u64, no: u16, set_up: SetUp, todo: &mut AdapterOutput) {
         self.of_client.insert(client, no);
         let client = Client { front: FrontKind::Iax2, no: client };
         todo.inputs.push(Input::ClientUp(client));
@@ -242,7 +248,7 @@
     }
 
     /// A caller has said who he is. Whatever is wrong, he hears the same.
-    fn answered(&mut self, no: u16, client: u64, frame: &Frame, now: Time, todo: &mut Todo) {
+    fn answered(&mut self, no: u16, client: u64, frame: &Frame, now: Time, todo: &mut AdapterOutput) {
         let Some(examined) = self.examined.remove(&client) else { return };
         let (asked, mut set_up, since) = match examined {
             Examined { asked, want: Want::Call(set_up), since, .. } => (asked, set_up, since),
@@ -289,7 +295,7 @@
         })
     }
 
-    fn frame(&mut self, no: u16, frame: &Frame, now: Time, todo: &mut Todo) {
+    fn frame(&mut self, no: u16, frame: &Frame, now: Time, todo: &mut AdapterOutput) {
         let Some(&caller) = self.legs.owner(no) else { return };
         if self.registrar_says(no, caller, frame, now, todo) {
             return;
@@ -315,7 +321,7 @@
         }
     }
 
-    fn lost(&mut self, caller: Caller, todo: &mut Todo) {
+    fn lost(&mut self, caller: Caller, todo: &mut AdapterOutput) {
         self.examined.remove(&caller.client);
         if self.of_client.remove(&caller.client).is_some() {
             todo.inputs.push(Input::ClientDown(Client { front: FrontKind::Iax2, no: caller.client }));
@@ -323,7 +329,7 @@
     }
 
     /// The call stands.
-    pub fn ready(&mut self, client: u64, body: &str, now: Time, todo: &mut Todo) {
+    pub fn ready(&mut self, client: u64, body: &str, now: Time, todo: &mut AdapterOutput) {
         let Some(&no) = self.of_client.get(&client) else { return };
         let out = &mut todo.to_callers;
         self.legs.send(no, Kind::Iax(Iax::Accept), add_description(Elements::default(), body), now, out);
@@ -333,19 +339,19 @@
     }
 
     /// Refused or failed.
-    pub fn refuse(&mut self, client: u64, again: bool, wait: Span, now: Time, todo: &mut Todo) {
+    pub fn refuse(&mut self, client: u64, again: bool, wait: Span, now: Time, todo: &mut AdapterOutput) {
         let Some(&no) = self.of_client.get(&client) else { return };
         let cause = if again { CAUSE_REFUSED } else { CAUSE_FAILED };
         self.over(no, Iax::Reject, cause, wait, now, todo);
     }
 
     /// A call that stood is over.
-    pub fn release(&mut self, client: u64, cause: u16, now: Time, todo: &mut Todo) {
+    pub fn release(&mut self, client: u64, cause: u16, now: Time, todo: &mut AdapterOutput) {
         let Some(&no) = self.of_client.get(&client) else { return };
         self.over(no, Iax::Hangup, cause, Span::default(), now, todo);
     }
 
-    fn over(&mut self, no: u16, how: Iax, cause: u16, wait: Span, now: Time, todo: &mut Todo) {
+    fn over(&mut self, no: u16, how: Iax, cause: u16, wait: Span, now: Time, todo: &mut AdapterOutput) {
         let code = u8::try_from(cause).unwrap_or(u8::MAX);
         let text = if cause == CAUSE_REFUSED { "try again" } else { "call ended" };
         let mut elements = Elements::default().with(ie::CAUSE, text.as_bytes()).with(ie::CAUSE_CODE, &[code]);
@@ -362,11 +368,11 @@
     }
 
     /// Does what is due on a leg.
-    pub fn due(&mut self, key: u64, now: Time, todo: &mut Todo) {
+    pub fn run_timer(&mut self, key: u64, now: Time, todo: &mut AdapterOutput) {
         if key == registration::EXPIRY {
             return self.expire(now, todo);
         }
-        if let Some(place) = key.checked_sub(registers::FIRST) {
+        if let Some(place) = key.checked_sub(outbound_registration::FIRST) {
             return self.registrant_due(usize::try_from(place).unwrap_or(usize::MAX), now, todo);
         }
         let no = u16::try_from(key).unwrap_or(0);
@@ -385,10 +391,10 @@
         Some(self.examined.get(&self.legs.owner(no)?.client)?.until)
     }
 
-    fn arm(&self, no: u16, todo: &mut Todo) {
+    fn arm(&self, no: u16, todo: &mut AdapterOutput) {
         let due = self.legs.next_deadline(no).into_iter().chain(self.answers_until(no)).min();
         if let Some(at) = due {
-            todo.dues.push((at, DeadlineOwner::Iax2Front, u64::from(no)));
+            todo.deadlines.push((at, DeadlineOwner::Iax2Front, u64::from(no)));
         }
     }
 }
--- a/src/front/iax2/registers.rs
+++ b/src/front/iax2/outbound_registration.rs
@@ -8,21 +8,21 @@
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
 use crate::iax2::registrant::{Registrant, RegistrantAction, REQUESTED_REFRESH_SECS};
 use crate::interface::Time;
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 
 /// Keys of the registrants' deadlines: this and their places after it.
 pub(super) const FIRST: u64 = 1 << 33;
 
 /// Our registrations.
 #[derive(Debug, Default)]
-pub(super) struct Registers {
+pub(super) struct OutboundRegistrations {
     account: Option<Account>,
     all: Vec<Registrant>,
     /// Which registrant each leg is for, by its caller's number.
     asking: Vec<(u64, usize)>,
 }
 
-impl Registers {
+impl OutboundRegistrations {
     /// The registrant that a leg is for, if it is for one.
     fn of(&self, client: u64) -> Option<usize> {
         self.asking.iter().find(|(of, _)| *of == client).map(|(_, place)| *place)
@@ -31,15 +31,21 @@
 
 impl Callers {
     /// From now on the controller is registered at these. One that stays keeps its time.
-    pub fn register_at(&mut self, account: Option<&Account>, at: &[SocketAddr], now: Time, todo: &mut Todo) {
-        let Registers { all, .. } = std::mem::take(&mut self.registers);
+    pub fn register_at(
+        &mut self,
+        account: Option<&Account>,
+        at: &[SocketAddr],
+        now: Time,
+        todo: &mut AdapterOutput,
+    ) {
+        let OutboundRegistrations { all, .. } = std::mem::take(&mut self.registers);
         let seed = self.usual.seed;
         let one = |(n, at): (usize, &SocketAddr)| {
             let before = all.iter().find(|registrant| registrant.address == *at).cloned();
             before.unwrap_or_else(|| Registrant::new(*at, now, mixed(seed.wrapping_add(n as u64))))
         };
         let all = at.iter().enumerate().map(one).collect();
-        self.registers = Registers { account: account.cloned(), all, asking: Vec::new() };
+        self.registers = OutboundRegistrations { account: account.cloned(), all, asking: Vec::new() };
         (0..at.len()).for_each(|place| self.arm_registrant(place, todo));
     }
 
@@ -48,14 +54,14 @@
         self.registers.all.iter().filter(|registrant| registrant.is_registered(now)).count()
     }
 
-    fn arm_registrant(&self, place: usize, todo: &mut Todo) {
+    fn arm_registrant(&self, place: usize, todo: &mut AdapterOutput) {
         if let Some(registrant) = self.registers.all.get(place) {
-            todo.dues.push((registrant.next_deadline(), DeadlineOwner::Iax2Front, FIRST + place as u64));
+            todo.deadlines.push((registrant.next_deadline(), DeadlineOwner::Iax2Front, FIRST + place as u64));
         }
     }
 
     /// Does what is due at one registrar.
-    pub(super) fn registrant_due(&mut self, place: usize, now: Time, todo: &mut Todo) {
+    pub(super) fn registrant_due(&mut self, place: usize, now: Time, todo: &mut AdapterOutput) {
         let Some(registrant) = self.registers.all.get_mut(place) else { return };
         match registrant.run_timer(now) {
             RegistrantAction::Wait => {}
@@ -68,7 +74,7 @@
         self.arm_registrant(place, todo);
     }
 
-    fn ask_registrar(&mut self, place: usize, now: Time, todo: &mut Todo) {
+    fn ask_registrar(&mut self, place: usize, now: Time, todo: &mut AdapterOutput) {
         let (Some(account), Some(registrant)) = (&self.registers.account, self.registers.all.get(place))
         else {
             return;
@@ -93,10 +99,10 @@
         caller: Caller,
         frame: &Frame,
         now: Time,
-        todo: &mut Todo,
+        todo: &mut AdapterOutput,
     ) -> bool {
         let Some(place) = self.registers.of(caller.client) else { return false };
-        let Registers { account, all, asking } = &mut self.registers;
+        let OutboundRegistrations { account, all, asking } = &mut self.registers;
         let Some(registrant) = all.get_mut(place) else { return true };
         match frame.kind {
             Kind::Iax(Iax::RegAuth) => {
--- a/src/front/iax2/registration.rs
+++ b/src/front/iax2/registration.rs
@@ -5,11 +5,11 @@
 
 use super::{Callers, Examined, Want, ANSWERS_WITHIN, CAUSE_NOT_LET_IN};
 use crate::core::{DeadlineOwner, DirectoryEntry, Input, Protocol, Source};
-use crate::front::iax2::door::answer;
+use crate::front::iax2::call_token_gate::answer;
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
 use crate::iax2::registrar::Registration;
 use crate::interface::{Cell, ServerState, Time};
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 
 /// Q.850: the facility is rejected.
 const CAUSE_NOT_SERVED: u8 = 29;
@@ -18,7 +18,7 @@
 
 impl Callers {
     /// A REGREQ or REGREL of a leg that is not known.
-    pub(super) fn registers(&mut self, from: SocketAddr, first: &Frame, now: Time, todo: &mut Todo) {
+    pub(super) fn registers(&mut self, from: SocketAddr, first: &Frame, now: Time, todo: &mut AdapterOutput) {
         let want = if first.kind == Kind::Iax(Iax::RegRel) { Want::Release } else { Want::Register };
         let Some(examiner) = &mut self.examiner else {
             let elements = rejected("registration is not served here", CAUSE_NOT_SERVED);
@@ -39,7 +39,7 @@
         examined: Examined,
         frame: &Frame,
         now: Time,
-        todo: &mut Todo,
+        todo: &mut AdapterOutput,
     ) {
         let Examined { asked, want, .. } = examined;
         let (Some(examiner), Some(from)) = (&mut self.examiner, self.legs.peer(no)) else { return };
@@ -84,7 +84,7 @@
     }
 
     /// Does what is due of registrations: those whose time is over, or whose user is none any more, have left.
-    pub fn expire(&mut self, now: Time, todo: &mut Todo) {
+    pub fn expire(&mut self, now: Time, todo: &mut AdapterOutput) {
         let Callers { registrar, examiner, .. } = self;
         let known = |user: &str| examiner.as_ref().is_some_and(|examiner| examiner.has_user(user));
         if registrar.expire(now, known) {
@@ -93,14 +93,14 @@
         self.arm_expiry(todo);
     }
 
-    fn arm_expiry(&self, todo: &mut Todo) {
+    fn arm_expiry(&self, todo: &mut AdapterOutput) {
         if let Some(at) = self.registrar.next_deadline() {
-            todo.dues.push((at, DeadlineOwner::Iax2Front, EXPIRY));
+            todo.deadlines.push((at, DeadlineOwner::Iax2Front, EXPIRY));
         }
     }
 
     /// Tells of all call servers that are registered. One that was told of before and is none any more has left.
-    fn list(&self, todo: &mut Todo) {
+    fn list(&self, todo: &mut AdapterOutput) {
         let line = |(user, place): (&str, &Registration)| {
             let server = self.examiner.as_ref()?.server(user)?;
             let zone = self.usual.zones.iter().position(|zone| *zone == server.zone);
--- a/src/front/jsonl.rs
+++ b/src/front/jsonl.rs
@@ -36,13 +36,13 @@
 pub enum LineError {
     /// No JSON object of the right form.
     #[error("no message: {0}")]
-    Form(String),
+    Malformed(String),
     /// The name is no 16 hex digits.
     #[error("'sid' is no name of a call")]
-    Name,
+    InvalidCallId,
     /// A set-up lacks this, or has it out of range.
     #[error("set-up {0} lacks '{1}', or has it out of range")]
-    Lacks(Sid, &'static str),
+    InvalidField(Sid, &'static str),
 }
 
 #[derive(Deserialize)]
@@ -59,11 +59,11 @@
 
 /// Reads one line.
 pub fn parse(line: &[u8]) -> Result<Line, LineError> {
-    let form: Form = serde_json::from_slice(line).map_err(|e| LineError::Form(e.to_string()))?;
+    let form: Form = serde_json::from_slice(line).map_err(|e| LineError::Malformed(e.to_string()))?;
     if form.msg == "probe" {
         return Ok(Line::Probe(form.sid));
     }
-    let sid = || Sid::parse(&form.sid).ok_or(LineError::Name);
+    let sid = || Sid::parse(&form.sid).ok_or(LineError::InvalidCallId);
     match form.msg.as_str() {
         "open" => set_up(sid()?, &form).map(Line::Open),
         "close" => Ok(Line::Close(sid()?, form.code.map_or(16, |code| code as u16))),
@@ -73,7 +73,7 @@
 }
 
 fn set_up(sid: Sid, form: &Form) -> Result<SetUp, LineError> {
-    let lacks = |what| LineError::Lacks(sid, what);
+    let lacks = |what| LineError::InvalidField(sid, what);
     let class = text_of(&form.attrs, "class").ok_or(lacks("class"))?;
     let number = text_of(&form.attrs, "key").ok_or(lacks("key"))?;
     // The number goes into the first line of an INVITE.
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -34,15 +34,15 @@
 use crate::iax2::frame::MAX_DATAGRAM_BYTES as LONGEST_FRAME;
 use crate::iax2::legs::Outgoing;
 use crate::interface::{ServerId, Time};
-use crate::net::conn::Line;
-use crate::net::guests::Guests;
-use crate::net::peers::{Peers, LONGEST};
-use crate::net::pool::Pool;
+use crate::net::client_connections::ClientConnections;
+use crate::net::conn::Connection;
+use crate::net::peers::{Peers, MAX_DATAGRAM_BYTES};
+use crate::net::pool::BufferPool;
 use crate::net::queue::Budget;
 use crate::outages::Outages;
 use crate::upstream::iax2::Servers;
 use crate::upstream::sip::Trunks;
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 use follow::Followed;
 pub use handover::Before;
 use handover::{Doors, Side, Unfinished};
@@ -81,7 +81,7 @@
 /// Everything that is not a socket.
 struct State {
     core: Core,
-    guests: Guests,
+    guests: ClientConnections,
     next_client: u64,
     sip: Trunks,
     callers: Callers,
@@ -95,7 +95,7 @@
     /// Who writes down what a life after this one needs; `None`: nobody.
     keeper: Option<Keeper>,
     /// The sockets of connections that stand.
-    lines: BTreeMap<(Side, u64), Rc<Line>>,
+    lines: BTreeMap<(Side, u64), Rc<Connection>>,
 }
 
 /// What a controller is bound to until it ends.
@@ -130,7 +130,7 @@
     /// Callers' connections that are ended and wait for the other side.
     parting: Cell<usize>,
     limits: Cell<Limits>,
-    pool: Pool,
+    pool: BufferPool,
     /// What may wait to be written to all callers.
     caller_bytes: Budget,
     /// What may wait to be written to all call servers.
@@ -169,12 +169,12 @@
         };
         if let Some(socket) = callers {
             spawn_local(self.clone().hear_iax2(socket, |state, from, bytes, now, todo| {
-                state.callers.datagram(from, bytes, now, todo);
+                state.callers.handle_datagram(from, bytes, now, todo);
             }));
         }
         if let Some(socket) = servers {
             spawn_local(self.clone().hear_iax2(socket, |state, from, bytes, now, todo| {
-                state.servers.datagram(from, bytes, now, todo);
+                state.servers.handle_datagram(from, bytes, now, todo);
             }));
         }
         let peer_socket = self.0.state.borrow().peer_socket.clone();
@@ -250,9 +250,9 @@
             invites: sip.invites,
             withdrawn: sip.withdrawn,
             connected: sip.connected,
-            not_made: sip.not_made,
+            not_made: sip.connect_failures,
             moved: sip.moved,
-            spoilt: sip.spoilt,
+            spoilt: sip.closed_malformed,
             stale: sip.stale,
             malformed_lines: tally.lines,
             malformed_sip: sip.malformed + tally.sip,
@@ -260,8 +260,8 @@
             bulletin_failures: tally.bulletin_failures,
             dns_failures: tally.dns_failures,
             iax2_callers: state.callers.live(),
-            iax2_calls_in: state.callers.counts.news,
-            iax2_calls_out: state.servers.counts.news,
+            iax2_calls_in: state.callers.counts.new_frames,
+            iax2_calls_out: state.servers.counts.new_frames,
             iax2_withdrawn: state.servers.counts.withdrawn,
             iax2_received: state.callers.counts.received + state.servers.counts.received,
             iax2_malformed: state.callers.counts.malformed + state.servers.counts.malformed,
@@ -292,14 +292,14 @@
     }
 
     /// Does something with the wires and carries out what follows, until nothing more follows.
-    fn turn(&self, work: impl FnOnce(&mut State, &mut Todo)) {
-        let mut todo = Todo::default();
+    fn turn(&self, work: impl FnOnce(&mut State, &mut AdapterOutput)) {
+        let mut todo = AdapterOutput::default();
         let mut state = self.0.state.borrow_mut();
         let before = state.core.deadlines.next_at();
         let now = self.0.clock.now();
         work(&mut state, &mut todo);
         state.settle(now, &mut todo);
-        if !todo.links.is_empty() {
+        if !todo.connects.is_empty() {
             state.yield_to_links(self.0.limits.get(), self.0.parting.get());
         }
         let after = state.core.deadlines.next_at();
@@ -307,7 +307,7 @@
         if after != before {
             self.0.rearm.notify_one();
         }
-        for (link, dial) in todo.links.into_iter().filter(|_| !self.0.ended.get()) {
+        for (link, dial) in todo.connects.into_iter().filter(|_| !self.0.ended.get()) {
             spawn_local(self.clone().link(link, dial));
         }
     }
@@ -331,7 +331,7 @@
     }
 
     /// The same for a task that serves many: a panic costs what caused it alone, and is counted.
-    fn guarded(&self, work: impl FnOnce(&mut State, &mut Todo)) {
+    fn guarded(&self, work: impl FnOnce(&mut State, &mut AdapterOutput)) {
         let turn = std::panic::AssertUnwindSafe(|| self.turn(work));
         if std::panic::catch_unwind(turn).is_err() {
             self.0.panics.set(self.0.panics.get() + 1);
@@ -343,7 +343,7 @@
     async fn hear_iax2(
         self,
         socket: Rc<UdpSocket>,
-        take: impl Fn(&mut State, SocketAddr, &[u8], Time, &mut Todo),
+        take: impl Fn(&mut State, SocketAddr, &[u8], Time, &mut AdapterOutput),
     ) {
         let mut bytes = vec![0; LONGEST_FRAME + 1];
         loop {
@@ -358,10 +358,10 @@
     }
 
     async fn hear_peers(self, socket: Rc<UdpSocket>) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match socket.recv_from(&mut bytes).await {
-                Ok((n, from)) if n <= LONGEST => {
+                Ok((n, from)) if n <= MAX_DATAGRAM_BYTES => {
                     let number = self.0.state.borrow().peers.number_of(from);
                     if let Some(number) = number {
                         self.0.state.borrow_mut().tally.mail += 1;
@@ -377,23 +377,23 @@
 }
 
 impl State {
-    fn sweep(&mut self, now: Time, todo: &mut Todo) {
+    fn sweep(&mut self, now: Time, todo: &mut AdapterOutput) {
         let mut effects = Vec::new();
         let wires = self.core.expire_deadlines(now, &mut effects);
         for (part, key) in wires {
             match part {
                 DeadlineOwner::ClientConnections => self.look_at(key, now, todo),
-                DeadlineOwner::SipFirstMessage => self.sip.carries(key),
-                DeadlineOwner::SipReconnect => self.sip.due(key, todo),
-                DeadlineOwner::SipSilence => self.sip.watch(key, now, todo),
-                DeadlineOwner::Iax2Front => self.callers.due(key, now, todo),
-                DeadlineOwner::Iax2Upstream => self.servers.due(key, now, todo),
+                DeadlineOwner::SipFirstMessage => self.sip.first_message_overdue(key),
+                DeadlineOwner::SipReconnect => self.sip.reconnect(key, todo),
+                DeadlineOwner::SipSilence => self.sip.check_silence(key, now, todo),
+                DeadlineOwner::Iax2Front => self.callers.run_timer(key, now, todo),
+                DeadlineOwner::Iax2Upstream => self.servers.run_timer(key, now, todo),
             }
         }
         self.carry_out(effects, now, todo);
     }
 
-    fn settle(&mut self, now: Time, todo: &mut Todo) {
+    fn settle(&mut self, now: Time, todo: &mut AdapterOutput) {
         let mut effects = Vec::new();
         loop {
             let inputs: VecDeque<Input> = std::mem::take(&mut todo.inputs).into();
@@ -408,13 +408,13 @@
         }
         send_all(self.callers_socket.as_deref(), &mut todo.to_callers);
         send_all(self.servers_socket.as_deref(), &mut todo.to_servers);
-        for (at, part, key) in todo.dues.drain(..) {
+        for (at, part, key) in todo.deadlines.drain(..) {
             self.core.deadlines.set(at, crate::core::Deadline::ProtocolAdapter(part, key));
         }
         self.keep();
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>, now: Time, todo: &mut Todo) {
+    fn carry_out(&mut self, effects: Vec<Effect>, now: Time, todo: &mut AdapterOutput) {
         for effect in effects {
             match effect {
                 Effect::Answer(client, sid, body) => match client.front {
@@ -445,8 +445,8 @@
                     self.settled(no, false, now, todo);
                 }
                 Effect::ProtocolViolation(Client { front: FrontKind::JsonLines, no }) => {
-                    if let Some(at) = self.guests.offends(no, true, now) {
-                        todo.dues.push((at, DeadlineOwner::ClientConnections, no));
+                    if let Some(at) = self.guests.malformed_received(no, true, now) {
+                        todo.deadlines.push((at, DeadlineOwner::ClientConnections, no));
                     }
                 }
                 Effect::ConfirmRelease(..) | Effect::AnswerNoLongerOwed(_) | Effect::ProtocolViolation(_) => {
@@ -456,7 +456,7 @@
                         self.sip.invite(server, sid, &class, &number, left, &body, now, todo);
                     }
                     Protocol::Iax2 => {
-                        self.servers.invite(server, sid, &class, &number, left, &body, now, todo);
+                        self.servers.set_up(server, sid, &class, &number, left, &body, now, todo);
                     }
                 },
                 Effect::Cancel(server, sid) => {
@@ -468,16 +468,16 @@
                     self.servers.hang_up(server, sid, cause, now, todo);
                 }
                 Effect::Connect { server, address, protocol: Protocol::Sip, restarted_at } => {
-                    self.sip.reach(server, address, restarted_at, todo);
+                    self.sip.connect(server, address, restarted_at, todo);
                 }
                 Effect::Connect { server, address, protocol: Protocol::Iax2, restarted_at } => {
-                    self.servers.reach(server, address, restarted_at, now, todo);
+                    self.servers.set_address(server, address, restarted_at, now, todo);
                 }
                 Effect::CancelQueued(server) => {
-                    self.sip.withdraw(server, todo);
-                    self.servers.withdraw(server, now, todo);
+                    self.sip.cancel_queued(server, todo);
+                    self.servers.cancel_unanswered(server, now, todo);
                 }
-                Effect::StopConnecting(server) => self.sip.leave(server),
+                Effect::StopConnecting(server) => self.sip.stop_connecting(server),
                 Effect::ServerReplaced(server) => {
                     self.sip.replaced(server, todo);
                     self.servers.replaced(server, now, todo);
@@ -486,10 +486,12 @@
                     self.sip.forget(server);
                     self.servers.forget(server);
                 }
-                Effect::RestoreCall { server, sid, number } => self.sip.adopt(server, sid, number, now, todo),
+                Effect::RestoreCall { server, sid, number } => {
+                    self.sip.restore_call(server, sid, number, now, todo)
+                }
                 Effect::SendToPeers(to, data) => {
                     if let Some(socket) = &self.peer_socket {
-                        self.peers.tell(socket, to, &data);
+                        self.peers.send(socket, to, &data);
                     }
                 }
                 Effect::Log(line) => tracing::info!("{line}"),
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -13,11 +13,11 @@
 use crate::instance::handover::{Doors, Side};
 use crate::instance::{Instance, State};
 use crate::interface::{Span, Time};
-use crate::net::conn::{part, serve, End, Line, Reader, Unreadable};
-use crate::net::guests::Look;
-use crate::net::pool::MESSAGE;
+use crate::net::client_connections::IdleCheck;
+use crate::net::conn::{close_gracefully, serve, CloseReason, Connection, MalformedInput, MessageReader};
+use crate::net::pool::MAX_MESSAGE_BYTES;
 use crate::net::queue::WriteQueue;
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 
 /// A caller's message must be whole within this from its first byte on.
 const WHOLE_WITHIN: Duration = Duration::from_millis(1_500);
@@ -38,25 +38,25 @@
 
 impl State {
     /// Looks whether a caller's connection has stayed for too long without use.
-    pub(super) fn look_at(&mut self, no: u64, now: Time, todo: &mut Todo) {
+    pub(super) fn look_at(&mut self, no: u64, now: Time, todo: &mut AdapterOutput) {
         let carries = self.core.has_established_calls(client_of(no));
         self.guests.probe(no, || self.core.pending_call_on(client_of(no)).map(jsonl::trying));
         // Guards against a set-up of which a part is read, and which is too old to be made again when our close crosses its
         // rest. One that does not become whole ends its connection by itself.
-        let begun = self.lines.get(&(Side::Caller, no)).is_some_and(|line| line.has_begun());
-        if begun && self.guests.waits_for_the_rest(no, now) {
-            return todo.dues.push((now.plus(REST_LOOK), DeadlineOwner::ClientConnections, no));
+        let begun = self.lines.get(&(Side::Caller, no)).is_some_and(|line| line.has_partial_message());
+        if begun && self.guests.awaits_rest_of_message(no, now) {
+            return todo.deadlines.push((now.plus(REST_LOOK), DeadlineOwner::ClientConnections, no));
         }
-        if let Some(came) = self.guests.owed_nothing(no) {
+        if let Some(came) = self.guests.accepted_at_if_idle(no) {
             match self.drain.look(came, carries, now) {
                 Door::Stays => {}
-                Door::Again(at) => return todo.dues.push((at, DeadlineOwner::ClientConnections, no)),
+                Door::Again(at) => return todo.deadlines.push((at, DeadlineOwner::ClientConnections, no)),
                 Door::Ends => return self.guests.finish(no),
             }
         }
-        match self.guests.look(no, carries, now) {
-            Look::Again(at) => todo.dues.push((at, DeadlineOwner::ClientConnections, no)),
-            Look::Ends => self.tally.expired += 1,
+        match self.guests.check_idle(no, carries, now) {
+            IdleCheck::CheckAgainAt(at) => todo.deadlines.push((at, DeadlineOwner::ClientConnections, no)),
+            IdleCheck::Closed => self.tally.expired += 1,
         }
     }
 }
@@ -64,7 +64,7 @@
 impl State {
     /// How many connections callers may hold beside those to the call servers that are listed.
     pub(super) fn share_descriptors(&mut self, limits: Limits) {
-        self.guests.set_most(limits.callers_beside(self.core.listed_servers().count()));
+        self.guests.set_max(limits.callers_beside(self.core.listed_servers().count()));
     }
 
     /// Callers' connections give way to those to call servers, the least used first. Guards against idle connections that
@@ -72,14 +72,16 @@
     pub(super) fn yield_to_links(&mut self, limits: Limits, parting: usize) {
         self.share_descriptors(limits);
         let State { guests, core, .. } = self;
-        while !guests.fits(parting) && guests.make_room(|no| core.has_established_calls(client_of(no))) {}
+        while !guests.is_within_limit(parting)
+            && guests.make_room(|no| core.has_established_calls(client_of(no)))
+        {}
     }
 
     /// One of a connection's set-ups needs no answer any more; while callers are sent away it may end then.
-    pub(super) fn settled(&mut self, no: u64, told: bool, now: Time, todo: &mut Todo) {
-        self.guests.settled(no, told, now);
+    pub(super) fn settled(&mut self, no: u64, told: bool, now: Time, todo: &mut AdapterOutput) {
+        self.guests.set_up_settled(no, told, now);
         if !self.drain.works() {
-            todo.dues.push((now, DeadlineOwner::ClientConnections, no));
+            todo.deadlines.push((now, DeadlineOwner::ClientConnections, no));
         }
     }
 }
@@ -137,8 +139,8 @@
 
     /// Puts a new connection on the books and serves it. Both at once, so that a successor finds it there.
     fn client(&self, stream: TcpStream) {
-        let queue = Rc::new(WriteQueue::within(&self.0.caller_bytes));
-        let line = Rc::new(Line::new(stream));
+        let queue = Rc::new(WriteQueue::with_budget(&self.0.caller_bytes));
+        let line = Rc::new(Connection::new(stream));
         let now = self.0.clock.now();
         let mut no = 0;
         self.turn(|state, todo| {
@@ -147,32 +149,33 @@
             state.lines.insert((Side::Caller, no), line.clone());
             let first_look = state.guests.add(no, queue.clone(), now);
             let until = state.drain.new_ones_until().map_or(first_look, |_| now);
-            todo.dues.push((until, DeadlineOwner::ClientConnections, no));
+            todo.deadlines.push((until, DeadlineOwner::ClientConnections, no));
             todo.inputs.push(Input::ClientUp(client_of(no)));
         });
         self.serve_client(no, line);
     }
 
     /// Serves a caller's connection that is on the books.
-    pub(super) fn serve_client(&self, no: u64, line: Rc<Line>) {
+    pub(super) fn serve_client(&self, no: u64, line: Rc<Connection>) {
         // Guards against a panic in reading one connection's bytes that leaves its entry behind.
         let gone = Gone { instance: self.clone(), no };
         spawn_local(self.clone().talk(no, line, gone));
     }
 
-    async fn talk(self, no: u64, line: Rc<Line>, gone: Gone) {
+    async fn talk(self, no: u64, line: Rc<Connection>, gone: Gone) {
         let Some(queue) = self.0.state.borrow().guests.queue_of(no) else { return };
         let mut reader = ClientReader { instance: self.clone(), no };
         let end = serve(&line, &queue, &self.0.pool, &mut reader).await;
-        if !matches!(end, End::Closed | End::Ours) {
+        if !matches!(end, CloseReason::Closed | CloseReason::ClosedHere) {
             self.0.state.borrow_mut().tally.lost += 1;
         }
-        let in_order = end == End::Ours && queue.finished() && self.0.parting.get() < MOST_PARTING;
+        let in_order =
+            end == CloseReason::ClosedHere && queue.is_finished() && self.0.parting.get() < MOST_PARTING;
         // Nothing more can be said on it: releases go elsewhere from here on.
         drop(gone);
         if in_order {
             self.0.parting.set(self.0.parting.get() + 1);
-            part(&line, &self.0.pool, &mut reader).await;
+            close_gracefully(&line, &self.0.pool, &mut reader).await;
             self.0.parting.set(self.0.parting.get() - 1);
         }
     }
@@ -202,11 +205,11 @@
         let now = self.0.clock.now();
         match jsonl::parse(bytes) {
             Ok(Said::Open(set_up)) => self.turn(|state, todo| {
-                state.guests.owes(no, now);
+                state.guests.set_up_received(no, now);
                 todo.inputs.push(Input::SetUp(client, set_up));
             }),
             Ok(Said::Close(sid, cause)) => self.turn(|state, todo| {
-                state.guests.heard(no, now);
+                state.guests.message_received(no, now);
                 todo.inputs.push(Input::HangUp(client, sid, cause));
             }),
             Ok(Said::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
@@ -219,15 +222,15 @@
             Err(error) => self.turn(|state, todo| {
                 state.tally.lines += 1;
                 let answerable = match &error {
-                    LineError::Lacks(sid, _) => {
+                    LineError::InvalidField(sid, _) => {
                         let line = jsonl::close(*sid, jsonl::CAUSE_INVALID, Span::default());
                         // One whose name is that of a call owed an answer on this connection must not look like it.
                         !state.core.awaits_answer(*sid) && state.guests.write(no, line)
                     }
-                    LineError::Form(_) | LineError::Name => false,
+                    LineError::Malformed(_) | LineError::InvalidCallId => false,
                 };
-                if let Some(at) = state.guests.offends(no, answerable, now) {
-                    todo.dues.push((at, DeadlineOwner::ClientConnections, no));
+                if let Some(at) = state.guests.malformed_received(no, answerable, now) {
+                    todo.deadlines.push((at, DeadlineOwner::ClientConnections, no));
                 }
             }),
         }
@@ -253,8 +256,8 @@
     no: u64,
 }
 
-impl Reader for ClientReader {
-    fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
+impl MessageReader for ClientReader {
+    fn read(&mut self, bytes: &[u8]) -> Result<usize, MalformedInput> {
         let mut used = 0;
         let ending = || self.instance.0.state.borrow().guests.is_ending(self.no);
         while let Some(length) = bytes[used..].iter().position(|byte| *byte == b'\n') {
@@ -266,16 +269,16 @@
                 false => self.instance.client_line(self.no, line),
             }
         }
-        if bytes.len() - used > MESSAGE {
+        if bytes.len() - used > MAX_MESSAGE_BYTES {
             if ending() {
                 return Ok(bytes.len()); // no end of a call is so long
             }
             self.instance.0.state.borrow_mut().tally.lines += 1;
-            return Err(Unreadable);
+            return Err(MalformedInput);
         }
         Ok(used)
     }
-    fn ended(&mut self) -> bool {
+    fn end_of_stream(&mut self) -> bool {
         let now = self.instance.0.clock.now();
         let mut more = false;
         self.instance.turn(|state, todo| {
@@ -284,7 +287,7 @@
         });
         more
     }
-    fn patience(&self) -> Duration {
+    fn message_timeout(&self) -> Duration {
         WHOLE_WITHIN
     }
 }
--- a/src/instance/follow.rs
+++ b/src/instance/follow.rs
@@ -7,7 +7,7 @@
 
 use crate::config::{DnsSdConfig, InstanceConfig};
 use crate::core::{Input, Source};
-use crate::directory::bulletin::{self, BulletinError, Page, Spoilt};
+use crate::directory::bulletin::{self, BulletinError, MalformedEvents, Page};
 use crate::directory::dns_sd::{self, DnsError};
 use crate::instance::Instance;
 
@@ -33,7 +33,7 @@
     /// Follows the directories for good, those named last. Guards against news lost between two bulletins: the
     /// numbers carry on, so the next one is asked for what came after the last event taken.
     pub(super) async fn follow(self, mut followed: watch::Receiver<Followed>) {
-        let mut watch = dns_sd::Watch::default();
+        let mut watch = dns_sd::ServiceState::default();
         loop {
             let now = followed.borrow_and_update().clone();
             tokio::select! {
@@ -56,18 +56,18 @@
                 self.works(party);
                 Ok(())
             }
-            Some(spoilt) => Err(BulletinError::Spoilt(spoilt)),
+            Some(spoilt) => Err(BulletinError::Malformed(spoilt)),
         };
         bulletin::follow(address, &self.0.heard, &followed.zones, take, failed).await;
     }
 
-    async fn follow_dns_sd(&self, followed: &Followed, watch: &mut dns_sd::Watch) {
+    async fn follow_dns_sd(&self, followed: &Followed, watch: &mut dns_sd::ServiceState) {
         let take = |hosts| {
             let list = Input::List { source: Source::DnsSd, whole: true, hosts };
             self.guarded(|_, todo| todo.inputs.push(list));
         };
         let Some(dns) = &followed.dns_sd else {
-            if watch.ends() {
+            if watch.stop() {
                 take(Vec::new());
             }
             return std::future::pending().await;
@@ -84,15 +84,15 @@
     }
 
     /// Takes what a page of the bulletin tells beyond the last event taken; what is to be asked for again.
-    pub(super) fn page(&self, page: Page) -> Option<Spoilt> {
+    pub(super) fn page(&self, page: Page) -> Option<MalformedEvents> {
         let taken = self.0.heard.borrow_mut().take(page);
-        let passed_over = taken.spoilt.as_ref().and_then(|spoilt| spoilt.passed_over);
-        if let Some(spoilt) = taken.spoilt.as_ref().filter(|spoilt| spoilt.passed_over.is_some()) {
+        let skipped = taken.malformed.as_ref().and_then(|spoilt| spoilt.skipped);
+        if let Some(spoilt) = taken.malformed.as_ref().filter(|spoilt| spoilt.skipped.is_some()) {
             let instance = self.name();
             tracing::warn!(instance, party = "bulletin", why = %spoilt, "passed over; what was known stays");
         }
         self.guarded(|state, todo| {
-            state.tally.bulletin += passed_over.unwrap_or(0);
+            state.tally.bulletin += skipped.unwrap_or(0);
             let news = taken.changes.into_iter().map(|change| Input::List {
                 source: Source::Bulletin,
                 whole: change.whole,
@@ -100,6 +100,6 @@
             });
             todo.inputs.extend(news);
         });
-        taken.spoilt.filter(|spoilt| spoilt.passed_over.is_none())
+        taken.malformed.filter(|spoilt| spoilt.skipped.is_none())
     }
 }
--- a/src/instance/handover.rs
+++ b/src/instance/handover.rs
@@ -21,8 +21,8 @@
 use crate::drain::{Drain, Phase};
 use crate::instance::{Instance, State};
 use crate::interface::Time;
-use crate::net::conn::Line;
-use crate::net::guests::Guests;
+use crate::net::client_connections::ClientConnections;
+use crate::net::conn::Connection;
 use crate::takeover::{Kind, TakeoverError, Way};
 use crate::upstream::sip::Trunks;
 
@@ -61,7 +61,7 @@
     next_client: u64,
     drain: Drain,
     core: &'a Core,
-    guests: &'a Guests,
+    guests: &'a ClientConnections,
     sip: &'a Trunks,
     sockets: Vec<Socket>,
 }
@@ -77,7 +77,7 @@
     next_client: u64,
     drain: Drain,
     core: Core,
-    guests: Guests,
+    guests: ClientConnections,
     sip: Trunks,
     sockets: Vec<Socket>,
 }
@@ -155,8 +155,8 @@
 /// What is to be done once the loop runs: connections to serve and to make.
 #[derive(Default)]
 pub(super) struct Unfinished {
-    callers: Vec<(u64, Rc<Line>)>,
-    servers: Vec<(u64, Rc<Line>)>,
+    callers: Vec<(u64, Rc<Connection>)>,
+    servers: Vec<(u64, Rc<Connection>)>,
     to_make: Vec<(u64, SocketAddr)>,
     lost: Vec<(Side, u64)>,
 }
@@ -190,7 +190,7 @@
             state.guests.numbers().into_iter().filter(|no| !lines.contains_key(&(Side::Caller, *no)));
         left.lost.extend(without.map(|no| (Side::Caller, no)));
         for ((side, no), (stream, read)) in lines {
-            let Some(line) = Line::resumed(stream, &read, &self.0.pool).map(Rc::new) else {
+            let Some(line) = Connection::resume(stream, &read, &self.0.pool).map(Rc::new) else {
                 left.lost.push((side, no));
                 continue;
             };
@@ -225,7 +225,7 @@
         for (no, line) in left.servers {
             tokio::task::spawn_local(self.clone().resume_link(no, line));
         }
-        self.turn(|_, todo| todo.links = left.to_make);
+        self.turn(|_, todo| todo.connects = left.to_make);
     }
 
     /// Waits for a successor and hands everything over; returns when this controller holds nothing any more. To be
@@ -303,7 +303,7 @@
             add(Socket::Peers, peers.as_fd());
         }
         for ((side, no), line) in &state.lines {
-            add(Socket::Line(*side, *no, line.read_so_far().into()), line.stream().as_fd());
+            add(Socket::Line(*side, *no, line.partial_message().into()), line.stream().as_fd());
         }
         let followed = self.0.followed.borrow();
         let holds = Holds {
--- a/src/instance/links.rs
+++ b/src/instance/links.rs
@@ -10,7 +10,7 @@
 
 use crate::instance::handover::Side;
 use crate::instance::Instance;
-use crate::net::conn::{serve, End, Line, Reader, Unreadable};
+use crate::net::conn::{serve, CloseReason, Connection, MalformedInput, MessageReader};
 use crate::net::queue::WriteQueue;
 use crate::upstream::sip::message::{parse, SipError};
 use crate::upstream::sip::LinkEnd;
@@ -26,26 +26,27 @@
     pub(super) async fn link(self, no: u64, dial: SocketAddr) {
         let Some(queue) = self.0.state.borrow().sip.queue_of(no) else { return };
         // Guards against a panic in reading one connection's bytes that leaves its entry behind.
-        let gone = LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Ended(End::Unreadable)) };
+        let gone =
+            LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Closed(CloseReason::Malformed)) };
         let connect = tokio::time::timeout(self.0.connect_timeout.get(), TcpStream::connect(dial));
         let how = tokio::select! {
             made = connect => match made {
                 Ok(Ok(stream)) => Ok(stream),
                 Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Err(LinkEnd::Refused),
-                Ok(Err(_)) | Err(_) => Err(LinkEnd::NotMade),
+                Ok(Err(_)) | Err(_) => Err(LinkEnd::ConnectFailed),
             },
-            _ = aborted(&queue) => Err(LinkEnd::Ended(End::Ours)),
+            _ = aborted(&queue) => Err(LinkEnd::Closed(CloseReason::ClosedHere)),
         };
         let party = ("call server", dial);
         match &how {
             Ok(_) => self.works(party),
             Err(LinkEnd::Refused) => self.failed(party, &"the connection is refused"),
-            Err(LinkEnd::NotMade) => self.failed(party, &"no connection comes up"),
-            Err(LinkEnd::Ended(_)) => {}
+            Err(LinkEnd::ConnectFailed) => self.failed(party, &"no connection comes up"),
+            Err(LinkEnd::Closed(_)) => {}
         }
         let end = match how {
             Ok(stream) => {
-                let (line, now) = (Rc::new(Line::new(stream)), self.0.clock.now());
+                let (line, now) = (Rc::new(Connection::new(stream)), self.0.clock.now());
                 self.turn(|state, todo| {
                     state.lines.insert((Side::Server, no), line.clone());
                     state.sip.link_up(no, now, todo);
@@ -57,26 +58,27 @@
         gone.how.set(end);
     }
 
-    async fn serve_link(&self, no: u64, line: &Line, queue: &WriteQueue) -> LinkEnd {
+    async fn serve_link(&self, no: u64, line: &Connection, queue: &WriteQueue) -> LinkEnd {
         let mut reader = LinkReader { instance: self.clone(), no };
-        LinkEnd::Ended(serve(line, queue, &self.0.pool, &mut reader).await)
+        LinkEnd::Closed(serve(line, queue, &self.0.pool, &mut reader).await)
     }
 
     /// Serves a connection to a call server that came along from a predecessor.
-    pub(super) async fn resume_link(self, no: u64, line: Rc<Line>) {
+    pub(super) async fn resume_link(self, no: u64, line: Rc<Connection>) {
         let Some(queue) = self.0.state.borrow().sip.queue_of(no) else { return };
-        let gone = LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Ended(End::Unreadable)) };
+        let gone =
+            LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Closed(CloseReason::Malformed)) };
         gone.how.set(self.serve_link(no, &line, &queue).await);
     }
 
     /// A connection to a call server that did not come along.
     pub(super) fn link_gone(&self, no: u64) {
-        drop(LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Ended(End::Reset)) });
+        drop(LinkGone { instance: self.clone(), no, how: Cell::new(LinkEnd::Closed(CloseReason::Reset)) });
     }
 }
 
 async fn aborted(queue: &WriteQueue) {
-    while !queue.ends() {
+    while !queue.is_closing() {
         queue.changed().await;
     }
 }
@@ -105,8 +107,8 @@
     no: u64,
 }
 
-impl Reader for LinkReader {
-    fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
+impl MessageReader for LinkReader {
+    fn read(&mut self, bytes: &[u8]) -> Result<usize, MalformedInput> {
         let mut used = 0;
         loop {
             // Empty lines between messages keep a connection alive and mean nothing.
@@ -119,8 +121,8 @@
                     let now = self.instance.0.clock.now();
                     let mut dial = None;
                     self.instance.turn(|state, todo| {
-                        state.sip.message(self.no, &message, now, todo);
-                        dial = state.sip.dial_of(self.no);
+                        state.sip.handle_message(self.no, &message, now, todo);
+                        dial = state.sip.address_of(self.no);
                     });
                     if let Some(dial) = dial {
                         self.instance.works((SAYS, dial));
@@ -132,20 +134,20 @@
                     let dial = {
                         let mut state = self.instance.0.state.borrow_mut();
                         state.tally.sip += 1;
-                        state.sip.dial_of(self.no)
+                        state.sip.address_of(self.no)
                     };
                     if let Some(dial) = dial {
                         self.instance.failed((SAYS, dial), &error);
                     }
-                    return Err(Unreadable);
+                    return Err(MalformedInput);
                 }
             }
         }
     }
-    fn ended(&mut self) -> bool {
+    fn end_of_stream(&mut self) -> bool {
         false
     }
-    fn patience(&self) -> Duration {
+    fn message_timeout(&self) -> Duration {
         WHOLE_WITHIN
     }
 }
--- a/src/instance/open.rs
+++ b/src/instance/open.rs
@@ -15,14 +15,14 @@
 use crate::core::Core;
 use crate::counters::Counters;
 use crate::drain::Drain;
-use crate::front::iax2::door::Door;
-use crate::front::iax2::{Callers, Usual};
+use crate::front::iax2::call_token_gate::CallTokenGate;
+use crate::front::iax2::{Callers, Defaults};
 use crate::instance::handover::{Before, Doors, Unfinished};
 use crate::instance::keep::Keeper;
 use crate::instance::replication::Replication;
 use crate::instance::{BoundTo, Clock, Followed, Instance, Shared, State, Tally};
-use crate::net::guests::Guests;
-use crate::net::pool::Pool;
+use crate::net::client_connections::ClientConnections;
+use crate::net::pool::BufferPool;
 use crate::net::queue::Budget;
 use crate::takeover;
 use crate::upstream::iax2::Servers;
@@ -143,9 +143,9 @@
         let (caller_bytes, server_bytes) = (Budget::new(limits.eighth()), Budget::new(limits.eighth()));
         let state = State {
             core: Core::new(config.core.clone()),
-            guests: Guests::new(limits.callers()),
+            guests: ClientConnections::new(limits.callers()),
             next_client: 0,
-            sip: Trunks::within(&server_bytes, limits.links()),
+            sip: Trunks::with_budget(&server_bytes, limits.links()),
             callers: callers_of(&config)?,
             servers: servers_of(&config),
             callers_socket,
@@ -181,7 +181,7 @@
             ended: Cell::new(false),
             parting: Cell::new(0),
             limits: Cell::new(limits),
-            pool: Pool::new(limits.buffers()),
+            pool: BufferPool::new(limits.buffers()),
             caller_bytes,
             server_bytes,
             connect_timeout: Cell::new(Duration::from_micros(config.connect_timeout.0)),
@@ -239,23 +239,23 @@
 
 /// The IAX2 front, without a caller.
 fn callers_of(config: &InstanceConfig) -> Result<Callers, StartError> {
-    let usual = Usual {
+    let usual = Defaults {
         class: config.core.classes.first().cloned().unwrap_or_else(|| "".into()),
         left: config.usual_left,
         zones: config.zones.clone(),
         seed: config.core.seed,
     };
     let (tokens, bounds) = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds)).unwrap_or_default();
-    let mut callers = Callers::new(usual, Door::new(tokens, random()?));
+    let mut callers = Callers::new(usual, CallTokenGate::new(tokens, random()?));
     callers.reconfigure(config.usual_left, &config.zones, tokens, bounds);
-    callers.examine(config.secrets.users.as_ref(), random()?);
+    callers.set_users(config.secrets.users.as_ref(), random()?);
     Ok(callers)
 }
 
 /// The IAX2 call servers, none of them known yet.
 fn servers_of(config: &InstanceConfig) -> Servers {
     let mut servers = Servers::default();
-    servers.introduce(config.secrets.account.as_ref());
+    servers.set_account(config.secrets.account.as_ref());
     servers
 }
 
--- a/src/instance/operators.rs
+++ b/src/instance/operators.rs
@@ -73,7 +73,7 @@
                 return;
             }
             state.core.refuse_set_ups_from(state.drain.refuses_from());
-            todo.dues.extend(
+            todo.deadlines.extend(
                 state.guests.numbers().into_iter().map(|no| (now, DeadlineOwner::ClientConnections, no)),
             );
         });
@@ -129,7 +129,7 @@
 
     /// What is held, and what has left towards call servers.
     pub(super) fn gauges(&self, state: &State) -> Gauges {
-        let written = self.0.server_bytes.set_ups_left() + state.servers.counts.news;
+        let written = self.0.server_bytes.set_ups_written() + state.servers.counts.new_frames;
         Gauges { upstream_requests: written, ..state.core.gauges(self.0.clock.now()) }
     }
 }
--- a/src/instance/reload.rs
+++ b/src/instance/reload.rs
@@ -8,11 +8,11 @@
 use crate::instance::open::random;
 use crate::instance::{Instance, State};
 use crate::interface::{Span, Time};
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 
 impl State {
     /// Registers at the registrars of a configuration.
-    pub(super) fn register(&mut self, config: &InstanceConfig, now: Time, todo: &mut Todo) {
+    pub(super) fn register(&mut self, config: &InstanceConfig, now: Time, todo: &mut AdapterOutput) {
         let at = config.iax2.as_ref().map(|iax2| iax2.register.as_slice()).unwrap_or_default();
         self.callers.register_at(config.secrets.account.as_ref(), at, now, todo);
     }
@@ -46,7 +46,7 @@
                 // Settings stay or go as a whole. Guards against calls served by the classes of one file and the zones,
                 // times and limits of another: what goes with the settings stays with them.
                 config.zones = self.0.followed.borrow().zones.clone();
-                config.usual_left = state.callers.usual_left();
+                config.usual_left = state.callers.default_left();
                 config.known = Page::default(); // read by the zones of the other file; the bulletin tells it too
                 config.connect_timeout = span_of(self.0.connect_timeout.get());
             }
@@ -75,13 +75,13 @@
             let iax2 = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds));
             let (tokens, bounds) = iax2.unwrap_or_default();
             state.callers.reconfigure(config.usual_left, &config.zones, tokens, bounds);
-            state.servers.introduce(config.secrets.account.as_ref());
+            state.servers.set_account(config.secrets.account.as_ref());
             match random() {
-                Ok(key) => state.callers.examine(config.secrets.users.as_ref(), key),
+                Ok(key) => state.callers.set_users(config.secrets.users.as_ref(), key),
                 Err(error) => tracing::error!(%error, "users stay as they were"),
             }
             state.share_descriptors(config.limits);
-            state.sip.set_most_links(config.limits.links());
+            state.sip.set_max_links(config.limits.links());
             state.tally.reloads += 1;
         }
         self.0.limits.set(config.limits);
@@ -91,9 +91,9 @@
             state.callers.expire(now, todo);
             state.register(&config, now, todo);
         });
-        self.0.pool.set_most(config.limits.buffers());
-        self.0.caller_bytes.set_most(config.limits.eighth());
-        self.0.server_bytes.set_most(config.limits.eighth());
+        self.0.pool.set_max(config.limits.buffers());
+        self.0.caller_bytes.set_max(config.limits.eighth());
+        self.0.server_bytes.set_max(config.limits.eighth());
         // News that the file holds beyond what was told so far comes first: the numbers carry on.
         let known = config.known.clone();
         let _ = self.page(known); // what of it cannot be read, the bulletin is asked for
--- a/src/net/guests.rs
+++ b/src/net/client_connections.rs
@@ -65,7 +65,7 @@
 
 /// One caller's connection.
 #[derive(Debug, Serialize, Deserialize)]
-struct Guest {
+struct ClientConnection {
     queue: Rc<WriteQueue>,
     /// When it came.
     since: Time,
@@ -83,21 +83,21 @@
 
 /// What is to become of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Look {
+pub enum IdleCheck {
     /// It stays; it is to be looked at again then.
-    Again(Time),
+    CheckAgainAt(Time),
     /// It ends, or has ended.
-    Ends,
+    Closed,
 }
 
 /// The connections of callers.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Guests {
-    connections: BTreeMap<u64, Guest>,
+pub struct ClientConnections {
+    connections: BTreeMap<u64, ClientConnection>,
     most: usize,
 }
 
-impl Guests {
+impl ClientConnections {
     /// Room for so many.
     pub fn new(most: usize) -> Self {
         Self { connections: BTreeMap::new(), most }
@@ -107,7 +107,7 @@
         self.most = most;
         for guest in self.connections.values_mut() {
             if let Some(queue) = Rc::get_mut(&mut guest.queue) {
-                queue.adopt(budget);
+                queue.move_to_budget(budget);
             }
         }
         self
@@ -117,7 +117,7 @@
         self.connections.get(&no).map(|guest| guest.queue.clone())
     }
     /// From now on there is room for so many; those beyond end as they would for others.
-    pub fn set_most(&mut self, most: usize) {
+    pub fn set_max(&mut self, most: usize) {
         self.most = most;
     }
     /// Whether another may come without one having to go; `parting`: those whose sockets are closing.
@@ -125,12 +125,12 @@
         self.connections.len() + parting < self.most
     }
     /// Whether there is room for those that are there.
-    pub fn fits(&self, parting: usize) -> bool {
+    pub fn is_within_limit(&self, parting: usize) -> bool {
         self.connections.len() + parting <= self.most
     }
     /// A connection came; when to look at it first.
     pub fn add(&mut self, no: u64, queue: Rc<WriteQueue>, now: Time) -> Time {
-        let guest = Guest {
+        let guest = ClientConnection {
             queue,
             since: now,
             used: now,
@@ -160,14 +160,14 @@
         self.connections.values().all(|c| c.queue.is_empty())
     }
     /// A set-up came in on it.
-    pub fn owes(&mut self, no: u64, now: Time) {
+    pub fn set_up_received(&mut self, no: u64, now: Time) {
         if let Some(guest) = self.connections.get_mut(&no) {
             guest.owed += 1;
             guest.used = now;
         }
     }
     /// One of its set-ups needs no answer any more; `told`: it has got one.
-    pub fn settled(&mut self, no: u64, told: bool, now: Time) {
+    pub fn set_up_settled(&mut self, no: u64, told: bool, now: Time) {
         if let Some(guest) = self.connections.get_mut(&no) {
             guest.owed = guest.owed.saturating_sub(1);
             guest.used = now;
@@ -178,14 +178,14 @@
         }
     }
     /// It said something that can be read.
-    pub fn heard(&mut self, no: u64, now: Time) {
+    pub fn message_received(&mut self, no: u64, now: Time) {
         if let Some(guest) = self.connections.get_mut(&no) {
             guest.used = now;
         }
     }
     /// It said something that cannot be read. `answerable`: it hears so by name, and may go on for a while. Returns
     /// when to look at it, if it is read no more.
-    pub fn offends(&mut self, no: u64, answerable: bool, now: Time) -> Option<Time> {
+    pub fn malformed_received(&mut self, no: u64, answerable: bool, now: Time) -> Option<Time> {
         let guest = self.connections.get_mut(&no)?;
         guest.strikes += 1;
         guest.told |= answerable;
@@ -193,7 +193,7 @@
             return None;
         }
         guest.ending = true;
-        guest.queue.read_no_more();
+        guest.queue.stop_reading();
         Some(now.plus(LINGER))
     }
     /// Whether it is read no more.
@@ -224,8 +224,8 @@
         self.connections.keys().copied().collect()
     }
     /// When a connection came that is owed nothing now and has not been ended.
-    pub fn owed_nothing(&self, no: u64) -> Option<Time> {
-        let guest = self.connections.get(&no).filter(|g| g.owed == 0 && !g.ending && !g.queue.ends());
+    pub fn accepted_at_if_idle(&self, no: u64) -> Option<Time> {
+        let guest = self.connections.get(&no).filter(|g| g.owed == 0 && !g.ending && !g.queue.is_closing());
         guest.map(|guest| guest.since)
     }
     /// Ends a connection once all is written on it.
@@ -245,17 +245,18 @@
     }
 
     /// Whether the rest of a message that has begun on a connection is waited for before it is ended for want of use.
-    pub fn waits_for_the_rest(&self, no: u64, now: Time) -> bool {
-        let waits = |guest: &Guest| !guest.ending && (guest.told || now < guest.since.plus(BEGUN_WITHIN));
+    pub fn awaits_rest_of_message(&self, no: u64, now: Time) -> bool {
+        let waits =
+            |guest: &ClientConnection| !guest.ending && (guest.told || now < guest.since.plus(BEGUN_WITHIN));
         self.connections.get(&no).is_some_and(waits)
     }
 
     /// Looks whether a connection has stayed for too long without use; `carries`: a call that stands was asked for
     /// on it.
-    pub fn look(&mut self, no: u64, carries: bool, now: Time) -> Look {
-        let Some(guest) = self.connections.get(&no) else { return Look::Ends };
+    pub fn check_idle(&mut self, no: u64, carries: bool, now: Time) -> IdleCheck {
+        let Some(guest) = self.connections.get(&no) else { return IdleCheck::Closed };
         if guest.owed > 0 {
-            return Look::Again(now.plus(guest.client_end.next_look()));
+            return IdleCheck::CheckAgainAt(now.plus(guest.client_end.next_look()));
         }
         let until = match (guest.ending, guest.told) {
             (true, _) => now,
@@ -264,16 +265,16 @@
             (false, true) => guest.used.plus(IDLE),
         };
         if until > now {
-            return Look::Again(until);
+            return IdleCheck::CheckAgainAt(until);
         }
         guest.queue.finish();
-        Look::Ends
+        IdleCheck::Closed
     }
 
     /// Makes room for another: ends the connection that needs it least, one that owes no answer. Those that never got
     /// an answer go first, then those that carry no call, then the others; of each kind the one longest without use.
     pub fn make_room(&mut self, carries: impl Fn(u64) -> bool) -> bool {
-        let idle = self.connections.iter().filter(|(_, g)| g.owed == 0 && !g.queue.ends());
+        let idle = self.connections.iter().filter(|(_, g)| g.owed == 0 && !g.queue.is_closing());
         let least = idle.min_by_key(|(no, g)| (!g.ending, g.told, g.told && carries(**no), g.used));
         let Some(no) = least.map(|(no, _)| *no) else { return false };
         if let Some(guest) = self.connections.remove(&no) {
@@ -291,8 +292,8 @@
         Time(1_000_000 + ms * 1000)
     }
 
-    fn guests(most: usize, n: u64) -> (Guests, Vec<Rc<WriteQueue>>) {
-        let mut guests = Guests::new(most);
+    fn guests(most: usize, n: u64) -> (ClientConnections, Vec<Rc<WriteQueue>>) {
+        let mut guests = ClientConnections::new(most);
         let queues: Vec<Rc<WriteQueue>> = (0..n).map(|_| Rc::default()).collect();
         for (no, queue) in (0..).zip(&queues) {
             assert_eq!(guests.add(no, queue.clone(), at(no)), at(no + 2_000));
@@ -305,18 +306,18 @@
     fn a_connection_without_use_ends_and_one_that_owes_or_carries_does_not() {
         let (mut guests, queues) = guests(9, 3);
         for no in [1, 2] {
-            guests.owes(no, at(10));
+            guests.set_up_received(no, at(10));
         }
-        assert_eq!(guests.look(0, false, at(2_000)), Look::Ends);
-        assert!(queues[0].ends());
-        assert_eq!(guests.look(1, false, at(2_001)), Look::Again(at(3_001)));
-        guests.settled(1, true, at(2_500));
-        assert_eq!(guests.look(1, true, at(9_000)), Look::Again(at(10_000)));
-        assert_eq!(guests.look(1, false, at(3_001)), Look::Again(at(7_500)));
-        assert_eq!(guests.look(1, false, at(7_500)), Look::Ends);
+        assert_eq!(guests.check_idle(0, false, at(2_000)), IdleCheck::Closed);
+        assert!(queues[0].is_closing());
+        assert_eq!(guests.check_idle(1, false, at(2_001)), IdleCheck::CheckAgainAt(at(3_001)));
+        guests.set_up_settled(1, true, at(2_500));
+        assert_eq!(guests.check_idle(1, true, at(9_000)), IdleCheck::CheckAgainAt(at(10_000)));
+        assert_eq!(guests.check_idle(1, false, at(3_001)), IdleCheck::CheckAgainAt(at(7_500)));
+        assert_eq!(guests.check_idle(1, false, at(7_500)), IdleCheck::Closed);
         // A set-up that was taken back got no answer: its connection has nothing to wait for.
-        guests.settled(2, false, at(100));
-        assert_eq!(guests.look(2, false, at(2_002)), Look::Ends);
+        guests.set_up_settled(2, false, at(100));
+        assert_eq!(guests.check_idle(2, false, at(2_002)), IdleCheck::Closed);
     }
 
     /// Guards against callers shut out by connections that are of no use to anybody.
@@ -325,14 +326,16 @@
         let (mut guests, queues) = guests(4, 4);
         assert!(!guests.has_room(0));
         for no in [0, 1, 2] {
-            guests.owes(no, at(10));
+            guests.set_up_received(no, at(10));
         }
-        guests.settled(0, true, at(20));
-        guests.settled(1, true, at(30));
+        guests.set_up_settled(0, true, at(20));
+        guests.set_up_settled(1, true, at(30));
         let mut gone = Vec::new();
         for _ in 0..3 {
             assert!(guests.make_room(|no| no == 0));
-            gone.extend((0..4).filter(|no| queues[*no].ends() && !gone.contains(no)).collect::<Vec<_>>());
+            gone.extend(
+                (0..4).filter(|no| queues[*no].is_closing() && !gone.contains(no)).collect::<Vec<_>>(),
+            );
         }
         assert_eq!(gone, [3, 1, 0]);
         assert!(!guests.make_room(|_| false), "the last one is owed an answer");
@@ -342,10 +345,10 @@
     #[test]
     fn who_cannot_be_answered_or_offends_again_and_again_is_read_no_more_and_ends() {
         let (mut guests, queues) = guests(9, 2);
-        assert_eq!(guests.offends(0, false, at(5)), Some(at(1_005)));
-        assert!(queues[0].deaf() && !queues[0].ends());
-        assert_eq!(guests.look(0, false, at(1_005)), Look::Ends);
-        let ends = (0..4).map(|_| guests.offends(1, true, at(5))).position(|end| end.is_some());
+        assert_eq!(guests.malformed_received(0, false, at(5)), Some(at(1_005)));
+        assert!(queues[0].reading_stopped() && !queues[0].is_closing());
+        assert_eq!(guests.check_idle(0, false, at(1_005)), IdleCheck::Closed);
+        let ends = (0..4).map(|_| guests.malformed_received(1, true, at(5))).position(|end| end.is_some());
         assert_eq!(ends, Some(3));
     }
 }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -8,12 +8,12 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use crate::net::pool::{Buffer, Pool, BUFFER};
+use crate::net::pool::{Buffer, BufferPool, BUFFER_BYTES};
 use crate::net::queue::WriteQueue;
 
 /// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum End {
+pub enum CloseReason {
     /// The other side closed it in order.
     #[error("closed by the other side")]
     Closed,
@@ -22,13 +22,13 @@
     Reset,
     /// This side ended it.
     #[error("ended here")]
-    Ours,
+    ClosedHere,
     /// What came cannot be read; the place of the next message is lost.
     #[error("unreadable bytes")]
-    Unreadable,
+    Malformed,
     /// A message began and did not come to its end in time.
     #[error("a message that stopped short")]
-    Short,
+    Incomplete,
     /// All buffers were lent.
     #[error("no buffer was free")]
     NoBuffer,
@@ -37,37 +37,37 @@
 /// The bytes are no messages: the connection must end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("unreadable bytes")]
-pub struct Unreadable;
+pub struct MalformedInput;
 
 /// What a wire does with a connection's bytes.
-pub trait Reader {
+pub trait MessageReader {
     /// Takes the whole messages at the start of `bytes` and says how many bytes they were.
-    fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable>;
+    fn read(&mut self, bytes: &[u8]) -> Result<usize, MalformedInput>;
     /// The other side writes no more: it has closed the connection, or only its half. `true`: go on writing until the
     /// queue is told to finish.
-    fn ended(&mut self) -> bool;
+    fn end_of_stream(&mut self) -> bool;
     /// How long a message may take from its first byte to its last.
-    fn patience(&self) -> Duration;
+    fn message_timeout(&self) -> Duration;
 }
 
 /// A connection's socket, and the part of a message that was read from it.
 #[derive(Debug)]
-pub struct Line {
+pub struct Connection {
     stream: TcpStream,
     part: RefCell<Option<Buffer>>,
 }
 
-impl Line {
+impl Connection {
     /// One that has just been made.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         Self { stream, part: RefCell::default() }
     }
     /// One that another process has read from; `None`: there is no buffer for what it had read.
-    pub fn resumed(stream: TcpStream, read: &[u8], pool: &Pool) -> Option<Self> {
+    pub fn resume(stream: TcpStream, read: &[u8], pool: &BufferPool) -> Option<Self> {
         let line = Self::new(stream);
         if !read.is_empty() {
-            let mut buffer = pool.take().filter(|_| read.len() <= BUFFER)?;
+            let mut buffer = pool.take().filter(|_| read.len() <= BUFFER_BYTES)?;
             buffer.room()[..read.len()].copy_from_slice(read);
             buffer.add(read.len());
             *line.part.borrow_mut() = Some(buffer);
@@ -79,11 +79,11 @@
         &self.stream
     }
     /// Whether a message has begun and is not whole.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.part.borrow().is_some()
     }
     /// What has been read and belongs to no whole message yet.
-    pub fn read_so_far(&self) -> Vec<u8> {
+    pub fn partial_message(&self) -> Vec<u8> {
         self.part.borrow().as_ref().map(|buffer| buffer.filled().to_vec()).unwrap_or_default()
     }
 }
@@ -95,13 +95,18 @@
 const LAST_WORDS: Duration = Duration::from_millis(100);
 
 /// Serves a connection until it ends.
-pub async fn serve(line: &Line, queue: &WriteQueue, pool: &Pool, reader: &mut impl Reader) -> End {
+pub async fn serve(
+    line: &Connection,
+    queue: &WriteQueue,
+    pool: &BufferPool,
+    reader: &mut impl MessageReader,
+) -> CloseReason {
     let stream = &line.stream;
     let mut reading = true;
     // Until when the message that has begun must be whole.
     let mut whole_by: Option<Instant> = None;
     if line.part.borrow().is_some() {
-        whole_by = Some(Instant::now() + reader.patience());
+        whole_by = Some(Instant::now() + reader.message_timeout());
     }
     // From when on it is read again; `None`: whenever something comes.
     let mut read_from: Option<Instant> = None;
@@ -115,10 +120,10 @@
                 return end_of(&error);
             }
         }
-        if queue.ends() {
-            return End::Ours;
+        if queue.is_closing() {
+            return CloseReason::ClosedHere;
         }
-        let seldom = queue.deaf();
+        let seldom = queue.reading_stopped();
         if seldom {
             whole_by = None;
         }
@@ -132,7 +137,7 @@
         let ready = tokio::select! {
             _ = queue.changed() => continue,
             // Guards against messages that stop short and leave what comes after them, or a buffer, waiting for good.
-            _ = by(whole_by) => return End::Short,
+            _ = by(whole_by) => return CloseReason::Incomplete,
             _ = by(read_from.filter(|_| rests)) => continue,
             ready = stream.ready(interest) => ready,
         };
@@ -143,22 +148,24 @@
                     && (ready.is_readable() || ready.is_read_closed() || ready.is_error()) =>
             {
                 let read = read_some(line, pool, reader);
-                read_from = queue.deaf().then(|| Instant::now() + SELDOM);
+                read_from = queue.reading_stopped().then(|| Instant::now() + SELDOM);
                 match read {
                     Ok(Read::Nothing) => {}
                     Ok(Read::Whole) => whole_by = None,
-                    Ok(Read::Part { anew: true }) => whole_by = Some(Instant::now() + reader.patience()),
+                    Ok(Read::Part { anew: true }) => {
+                        whole_by = Some(Instant::now() + reader.message_timeout())
+                    }
                     Ok(Read::Part { anew: false }) => {
-                        whole_by.get_or_insert_with(|| Instant::now() + reader.patience());
+                        whole_by.get_or_insert_with(|| Instant::now() + reader.message_timeout());
                     }
-                    Ok(Read::End) if reader.ended() => (reading, whole_by) = (false, None),
-                    Ok(Read::End) => return End::Closed,
+                    Ok(Read::End) if reader.end_of_stream() => (reading, whole_by) = (false, None),
+                    Ok(Read::End) => return CloseReason::Closed,
                     Err(end) => return end,
                 }
                 // Guards against a connection that is written to at full speed and keeps the others waiting.
                 tokio::task::yield_now().await;
             }
-            Ok(ready) if ready.is_error() => return End::Reset,
+            Ok(ready) if ready.is_error() => return CloseReason::Reset,
             Ok(_) => {}
             Err(error) => return end_of(&error),
         }
@@ -167,7 +174,7 @@
 
 /// Hears what the other side had said before the connection broke. Guards against an answer, or the end of a call, that
 /// came whole and is lost because something was to be written in the same moment.
-async fn last_words(line: &Line, pool: &Pool, reader: &mut impl Reader) {
+async fn last_words(line: &Connection, pool: &BufferPool, reader: &mut impl MessageReader) {
     let rest = async {
         // What had come is read first, then comes the end or the error.
         while line.stream.readable().await.is_ok() {
@@ -185,7 +192,7 @@
 /// Ends a connection in order: the other side hears that nothing more comes, and what it still says goes to the reader,
 /// who takes from it what needs no answer. Guards against a reset, which a close with bytes unread would be, that destroys
 /// what was written last, and against the end of a call that crosses ours and is heard by nobody.
-pub async fn part(line: &Line, pool: &Pool, reader: &mut impl Reader) {
+pub async fn close_gracefully(line: &Connection, pool: &BufferPool, reader: &mut impl MessageReader) {
     let stream = &line.stream;
     if rustix::net::shutdown(stream, rustix::net::Shutdown::Write).is_err() {
         return;
@@ -202,7 +209,7 @@
 }
 
 /// The same where what the other side still says is of no use: it is thrown away.
-pub async fn part_unheard(stream: &TcpStream) {
+pub async fn close_discarding_input(stream: &TcpStream) {
     if rustix::net::shutdown(stream, rustix::net::Shutdown::Write).is_err() {
         return;
     }
@@ -239,10 +246,14 @@
     End,
 }
 
-fn read_some(line: &Line, pool: &Pool, reader: &mut impl Reader) -> Result<Read, End> {
+fn read_some(
+    line: &Connection,
+    pool: &BufferPool,
+    reader: &mut impl MessageReader,
+) -> Result<Read, CloseReason> {
     let mut buffer = match line.part.take() {
         Some(buffer) => buffer,
-        None => pool.take().ok_or(End::NoBuffer)?,
+        None => pool.take().ok_or(CloseReason::NoBuffer)?,
     };
     match line.stream.try_read(buffer.room()) {
         Ok(0) => return Ok(Read::End),
@@ -253,26 +264,26 @@
         }
         Err(e) => return Err(end_of(&e)),
     }
-    let used = reader.read(buffer.filled()).map_err(|Unreadable| End::Unreadable)?;
+    let used = reader.read(buffer.filled()).map_err(|MalformedInput| CloseReason::Malformed)?;
     buffer.used(used);
     if buffer.room().is_empty() {
-        return Err(End::Unreadable); // a message longer than any may be
+        return Err(CloseReason::Malformed); // a message longer than any may be
     }
     if buffer.filled().is_empty() {
         return Ok(Read::Whole);
     }
-    if !pool.may_keep() {
-        return Err(End::NoBuffer);
+    if !pool.may_hold_partial() {
+        return Err(CloseReason::NoBuffer);
     }
     *line.part.borrow_mut() = Some(buffer);
     Ok(Read::Part { anew: used > 0 })
 }
 
-fn end_of(error: &io::Error) -> End {
+fn end_of(error: &io::Error) -> CloseReason {
     match error.kind() {
         io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe | io::ErrorKind::ConnectionAborted => {
-            End::Reset
+            CloseReason::Reset
         }
-        _ => End::Closed,
+        _ => CloseReason::Closed,
     }
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 /// The longest message allowed.
-pub const MESSAGE: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 /// A buffer holds the longest message and its line end.
-pub const BUFFER: usize = MESSAGE + 256;
+pub const BUFFER_BYTES: usize = MAX_MESSAGE_BYTES + 256;
 
 /// Buffers kept for connections whose messages come whole. Guards against those who send half a message each and hold
 /// all the others.
@@ -14,7 +14,7 @@
 
 /// The buffers that no connection holds. A connection holds one only while part of a message is in it.
 #[derive(Debug, Clone)]
-pub struct Pool(Rc<RefCell<Free>>);
+pub struct BufferPool(Rc<RefCell<Free>>);
 
 #[derive(Debug)]
 struct Free {
@@ -23,7 +23,7 @@
     most: usize,
 }
 
-impl Pool {
+impl BufferPool {
     /// A pool that lends at most so many buffers at once.
     pub fn new(most: usize) -> Self {
         Self(Rc::new(RefCell::new(Free { buffers: Vec::new(), lent: 0, most: most.max(2 * KEPT) })))
@@ -36,18 +36,18 @@
             return None;
         }
         free.lent += 1;
-        let bytes = free.buffers.pop().unwrap_or_else(|| vec![0; BUFFER]);
+        let bytes = free.buffers.pop().unwrap_or_else(|| vec![0; BUFFER_BYTES]);
         Some(Buffer { bytes, filled: 0, pool: self.clone() })
     }
 
     /// Whether a buffer with part of a message in it may be kept until the rest comes.
-    pub fn may_keep(&self) -> bool {
+    pub fn may_hold_partial(&self) -> bool {
         let free = self.0.borrow();
         free.lent + KEPT <= free.most
     }
 
     /// From now on lends at most so many.
-    pub fn set_most(&self, most: usize) {
+    pub fn set_max(&self, most: usize) {
         let mut free = self.0.borrow_mut();
         free.most = most.max(2 * KEPT);
         let idle = free.most.saturating_sub(free.lent);
@@ -65,7 +65,7 @@
 pub struct Buffer {
     bytes: Vec<u8>,
     filled: usize,
-    pool: Pool,
+    pool: BufferPool,
 }
 
 impl Buffer {
@@ -108,16 +108,16 @@
     /// Guards against those who send half a message each and hold the buffers of all the others.
     #[test]
     fn the_last_buffers_are_kept_for_messages_that_come_whole_and_a_crowd_s_are_given_back() {
-        let pool = Pool::new(20);
+        let pool = BufferPool::new(20);
         let mut held = Vec::new();
-        while pool.may_keep() {
+        while pool.may_hold_partial() {
             held.push(pool.take().expect("one more"));
         }
         assert_eq!(held.len(), 20 - KEPT + 1);
         assert!(pool.take().is_some(), "one for a message that comes whole");
         drop(held);
         assert_eq!((pool.lent(), pool.0.borrow().buffers.len()), (0, KEPT));
-        pool.set_most(2 * KEPT);
+        pool.set_max(2 * KEPT);
         assert_eq!(std::iter::from_fn(|| pool.take()).take(99).map(std::mem::forget).count(), 2 * KEPT);
     }
 }
--- a/src/net/queue.rs
+++ b/src/net/queue.rs
@@ -37,11 +37,11 @@
         Self(Rc::new(Account { used: Cell::new(0), most: Cell::new(most), set_ups: Cell::new(0) }))
     }
     /// From now on so many.
-    pub fn set_most(&self, most: usize) {
+    pub fn set_max(&self, most: usize) {
         self.0.most.set(most);
     }
     /// Set-ups that were written whole.
-    pub fn set_ups_left(&self) -> u64 {
+    pub fn set_ups_written(&self) -> u64 {
         self.0.set_ups.get()
     }
     fn take(&self, bytes: usize) -> bool {
@@ -66,7 +66,7 @@
 
 /// A message that waits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Item {
+pub struct QueuedMessage {
     /// Its bytes.
     pub bytes: Bytes,
     /// The call whose set-up it is; such a message may be taken back.
@@ -102,7 +102,7 @@
 
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Inner {
-    items: VecDeque<Item>,
+    items: VecDeque<QueuedMessage>,
     /// Bytes of the first item that have left.
     left: usize,
     waiting: usize,
@@ -114,12 +114,12 @@
 
 impl WriteQueue {
     /// A queue whose messages count against a budget that it shares.
-    pub fn within(budget: &Budget) -> Self {
+    pub fn with_budget(budget: &Budget) -> Self {
         Self { budget: budget.clone(), inner: RefCell::default(), changed: Notify::default() }
     }
 
     /// From now on what waits counts against this budget. It was within another's, so that it is never too much.
-    pub fn adopt(&mut self, budget: &Budget) {
+    pub fn move_to_budget(&mut self, budget: &Budget) {
         let waiting = self.inner.get_mut().waiting;
         self.budget.give_back(waiting);
         self.budget = budget.clone();
@@ -134,28 +134,28 @@
             return false;
         }
         inner.waiting += bytes.len();
-        inner.items.push_back(Item { bytes, set_up });
+        inner.items.push_back(QueuedMessage { bytes, set_up });
         self.changed.notify_one();
         true
     }
 
     /// Takes back a set-up of which no byte has left.
-    pub fn take_back(&self, sid: Sid) -> bool {
+    pub fn cancel_unsent(&self, sid: Sid) -> bool {
         let taken = self.take_where(|item| item.set_up == Some(sid));
         !taken.is_empty()
     }
 
     /// Takes back all set-ups of which no byte has left.
-    pub fn take_back_all(&self) -> Vec<Sid> {
+    pub fn cancel_all_unsent(&self) -> Vec<Sid> {
         self.take_where(|item| item.set_up.is_some()).into_iter().filter_map(|item| item.set_up).collect()
     }
 
     /// Takes whatever has not begun to leave, for another connection.
-    pub fn take_rest(&self) -> Vec<Item> {
+    pub fn take_unsent(&self) -> Vec<QueuedMessage> {
         self.take_where(|_| true)
     }
 
-    fn take_where(&self, which: impl Fn(&Item) -> bool) -> Vec<Item> {
+    fn take_where(&self, which: impl Fn(&QueuedMessage) -> bool) -> Vec<QueuedMessage> {
         let mut inner = self.inner.borrow_mut();
         let begun = usize::from(inner.left > 0);
         let mut taken = Vec::new();
@@ -185,13 +185,13 @@
     }
 
     /// Nothing more is read from the connection; what waits is still written.
-    pub fn read_no_more(&self) {
+    pub fn stop_reading(&self) {
         self.inner.borrow_mut().deaf = true;
         self.changed.notify_one();
     }
 
     /// Whether nothing more is to be read.
-    pub(crate) fn deaf(&self) -> bool {
+    pub(crate) fn reading_stopped(&self) -> bool {
         self.inner.borrow().deaf
     }
 
@@ -212,13 +212,13 @@
         self.inner.borrow().items.is_empty()
     }
 
-    pub(crate) fn ends(&self) -> bool {
+    pub(crate) fn is_closing(&self) -> bool {
         let inner = self.inner.borrow();
         inner.abort || (inner.finish && inner.items.is_empty())
     }
 
     /// Whether it was ended in order: all is written, and what the other side said was read to the last.
-    pub(crate) fn finished(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         let inner = self.inner.borrow();
         inner.finish && !inner.abort && !inner.deaf && inner.items.is_empty()
     }
@@ -229,7 +229,7 @@
 
     /// All that waits has left.
     #[cfg(test)]
-    pub(crate) fn pretend_written(&self) {
+    pub(crate) fn mark_all_written(&self) {
         let mut inner = self.inner.borrow_mut();
         self.budget.give_back(std::mem::take(&mut inner.waiting));
         inner.items.clear();
@@ -282,15 +282,15 @@
     #[test]
     fn what_waits_on_many_connections_is_bounded_together_and_given_back() {
         let budget = Budget::new(1_000);
-        let queues: Vec<WriteQueue> = (0..4).map(|_| WriteQueue::within(&budget)).collect();
+        let queues: Vec<WriteQueue> = (0..4).map(|_| WriteQueue::with_budget(&budget)).collect();
         let push = |n: usize, sid| queues[n].push(Bytes::from(vec![0; 300]), sid);
         let sid = Some(Sid::from_number(1));
         assert!(push(0, sid) && push(1, None) && push(2, None));
         assert!(!push(3, None), "each is within its own bound, all together are not");
-        assert!(queues[0].take_back(Sid::from_number(1)) && push(3, None));
+        assert!(queues[0].cancel_unsent(Sid::from_number(1)) && push(3, None));
         drop(queues);
-        assert!(WriteQueue::within(&budget).push(Bytes::from(vec![0; 1_000]), None));
-        budget.set_most(10);
-        assert!(!WriteQueue::within(&budget).push(Bytes::from(vec![0; 11]), None));
+        assert!(WriteQueue::with_budget(&budget).push(Bytes::from(vec![0; 1_000]), None));
+        budget.set_max(10);
+        assert!(!WriteQueue::with_budget(&budget).push(Bytes::from(vec![0; 11]), None));
     }
 }
--- a/src/upstream/iax2/mod.rs
+++ b/src/upstream/iax2/mod.rs
@@ -12,8 +12,8 @@
 use crate::iax2::frame::{ie, parse, unsupport_reply, Control, Datagram, Elements, Frame, Iax, Kind};
 use crate::iax2::legs::{LegEvent, Legs};
 use crate::interface::{Cause, ServerId, Span, Time};
-use crate::upstream::sip::message::report_of;
-use crate::upstream::Todo;
+use crate::upstream::sip::message::parse_report;
+use crate::upstream::AdapterOutput;
 
 /// Q.850: the call has ended in the usual way.
 const CAUSE_CLEARED: u16 = 16;
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerCounts {
     /// NEWs sent; a retransmission is none.
-    pub news: u64,
+    pub new_frames: u64,
     /// Set-ups that were withdrawn before the call server had answered anything.
     pub withdrawn: u64,
     /// Datagrams that came.
@@ -57,18 +57,18 @@
 
 impl Servers {
     /// From now on this is who we are at call servers that ask.
-    pub fn introduce(&mut self, account: Option<&Account>) {
+    pub fn set_account(&mut self, account: Option<&Account>) {
         self.account = account.cloned();
     }
 
     /// Where a call server is. One that started anew knows none of the old calls.
-    pub fn reach(
+    pub fn set_address(
         &mut self,
         server: ServerId,
         dial: SocketAddr,
         fresh: Option<Time>,
         now: Time,
-        todo: &mut Todo,
+        todo: &mut AdapterOutput,
     ) {
         self.dials.insert(server, dial);
         let Some(born) = fresh else { return };
@@ -82,7 +82,7 @@
     }
 
     /// Another call server has its address: its calls are gone.
-    pub fn replaced(&mut self, server: ServerId, now: Time, todo: &mut Todo) {
+    pub fn replaced(&mut self, server: ServerId, now: Time, todo: &mut AdapterOutput) {
         let of_old = self.calls.iter().filter(|(key, _)| key.0 == server);
         let old: Vec<(Key, u16)> = of_old.map(|(key, (no, _))| (*key, *no)).collect();
         for (key, no) in old {
@@ -98,7 +98,7 @@
 
     /// Sends a set-up.
     #[allow(clippy::too_many_arguments)] // one set-up, as the wire wants it
-    pub fn invite(
+    pub fn set_up(
         &mut self,
         server: ServerId,
         sid: Sid,
@@ -107,7 +107,7 @@
         left: Span,
         body: &str,
         now: Time,
-        todo: &mut Todo,
+        todo: &mut AdapterOutput,
     ) {
         let dial = self.dials.get(&server).copied();
         let Some(no) = dial.and_then(|dial| self.legs.open_outgoing(dial, (server, sid), now)) else {
@@ -127,14 +127,14 @@
             None => elements,
         };
         let elements = add_description(elements, body);
-        self.counts.news += 1;
+        self.counts.new_frames += 1;
         self.legs.send(no, Kind::Iax(Iax::New), elements, now, &mut todo.to_servers);
         self.calls.insert((server, sid), (no, Call::default()));
         self.arm(no, todo);
     }
 
     /// Gives a set-up up, or ends a call that stands.
-    pub fn hang_up(&mut self, server: ServerId, sid: Sid, cause: u16, now: Time, todo: &mut Todo) {
+    pub fn hang_up(&mut self, server: ServerId, sid: Sid, cause: u16, now: Time, todo: &mut AdapterOutput) {
         let Some((no, _)) = self.calls.remove(&(server, sid)) else { return };
         // A NEW that was never heard must not be heard after the HANGUP.
         if !self.legs.answered(no) {
@@ -143,7 +143,7 @@
         self.say_hang_up(no, cause, now, todo);
     }
 
-    fn say_hang_up(&mut self, no: u16, cause: u16, now: Time, todo: &mut Todo) {
+    fn say_hang_up(&mut self, no: u16, cause: u16, now: Time, todo: &mut AdapterOutput) {
         let code = u8::try_from(cause).unwrap_or(u8::MAX);
         let elements = Elements::default().with(ie::CAUSE_CODE, &[code]);
         self.legs.send(no, Kind::Iax(Iax::Hangup), elements, now, &mut todo.to_servers);
@@ -153,7 +153,7 @@
 
     /// Takes back every set-up that the call server has not answered yet: the next copy of its NEW might be the
     /// first to arrive. Guards against new work at a call server that drains.
-    pub fn withdraw(&mut self, server: ServerId, now: Time, todo: &mut Todo) {
+    pub fn cancel_unanswered(&mut self, server: ServerId, now: Time, todo: &mut AdapterOutput) {
         let unheard = self.calls.iter().filter(|(key, (no, _))| key.0 == server && !self.legs.answered(*no));
         let unheard: Vec<Sid> = unheard.map(|(key, _)| key.1).collect();
         for sid in unheard {
@@ -165,7 +165,7 @@
     }
 
     /// A datagram came.
-    pub fn datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Time, todo: &mut Todo) {
+    pub fn handle_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Time, todo: &mut AdapterOutput) {
         self.counts.received += 1;
         let frame = match parse(bytes) {
             Ok(Datagram::Full(frame)) => frame,
@@ -186,12 +186,12 @@
         self.arm(frame.dest, todo);
     }
 
-    fn frame(&mut self, no: u16, frame: &Frame, now: Time, todo: &mut Todo) {
+    fn frame(&mut self, no: u16, frame: &Frame, now: Time, todo: &mut AdapterOutput) {
         let Some(&key) = self.legs.owner(no) else { return };
         let Some((_, call)) = self.calls.get_mut(&key) else { return };
         let (server, sid) = key;
         let elements = &frame.elements;
-        let report = elements.variable("report").map(|text| report_of(&text)).unwrap_or_default();
+        let report = elements.variable("report").map(|text| parse_report(&text)).unwrap_or_default();
         let cause = elements.number(ie::CAUSE_CODE).and_then(|code| u16::try_from(code).ok());
         let over = match frame.kind {
             Kind::Iax(Iax::AuthReq) => {
@@ -240,7 +240,7 @@
     }
 
     /// A call's way broke: the other side is silent, or does not know the call.
-    fn broken(&mut self, key: Key, why: TransportError, now: Time, todo: &mut Todo) {
+    fn broken(&mut self, key: Key, why: TransportError, now: Time, todo: &mut AdapterOutput) {
         let Some((no, call)) = self.calls.remove(&key) else { return };
         self.legs.end(no, now);
         let says = if call.stands {
@@ -253,7 +253,7 @@
     }
 
     /// Does what is due on a leg.
-    pub fn due(&mut self, key: u64, now: Time, todo: &mut Todo) {
+    pub fn run_timer(&mut self, key: u64, now: Time, todo: &mut AdapterOutput) {
         let no = u16::try_from(key).unwrap_or(0);
         if let Some(LegEvent::Lost(call)) = self.legs.run_timers(no, now, &mut todo.to_servers) {
             self.broken(call, TransportError::NotAcknowledged, now, todo);
@@ -266,9 +266,9 @@
         self.legs.all_acked()
     }
 
-    fn arm(&self, no: u16, todo: &mut Todo) {
+    fn arm(&self, no: u16, todo: &mut AdapterOutput) {
         if let Some(at) = self.legs.next_deadline(no) {
-            todo.dues.push((at, DeadlineOwner::Iax2Upstream, u64::from(no)));
+            todo.deadlines.push((at, DeadlineOwner::Iax2Upstream, u64::from(no)));
         }
     }
 }
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -11,15 +11,15 @@
 
 /// What follows from something a wire was told: for the core, for the sockets, for the deadlines.
 #[derive(Debug, Default)]
-pub struct Todo {
+pub struct AdapterOutput {
     /// For the core, in order.
     pub inputs: Vec<Input>,
     /// Connections to be made: their numbers and where to.
-    pub links: Vec<(u64, SocketAddr)>,
+    pub connects: Vec<(u64, SocketAddr)>,
     /// Datagrams to IAX2 callers.
     pub to_callers: Vec<Outgoing>,
     /// Datagrams to IAX2 call servers.
     pub to_servers: Vec<Outgoing>,
     /// Deadlines to be set.
-    pub dues: Vec<(Time, DeadlineOwner, u64)>,
+    pub deadlines: Vec<(Time, DeadlineOwner, u64)>,
 }
--- a/src/upstream/sip/message.rs
+++ b/src/upstream/sip/message.rs
@@ -6,7 +6,7 @@
 
 use crate::core::{LoadValues, Refusal, Sid};
 use crate::interface::{Cause, LoadField, Span};
-use crate::net::pool::MESSAGE;
+use crate::net::pool::MAX_MESSAGE_BYTES;
 
 /// Headers that a message may have at most.
 const MOST_HEADERS: usize = 64;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
     /// Its first line.
-    pub start: Start,
+    pub start: StartLine,
     /// Of a request: the number that its first line calls.
     pub number: String,
     /// `Call-ID`.
@@ -40,11 +40,11 @@
 
 /// A first line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// A request: its method.
     Request(String),
     /// An answer: its code.
-    Answer(u16),
+    Response(u16),
 }
 
 /// A message that cannot be read.
@@ -66,7 +66,11 @@
 /// Reads the message at the start of `bytes`: it and its length, or `None` while it is not whole.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Message, usize)>, SipError> {
     let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4) else {
-        return if bytes.len() > MESSAGE { Err(SipError::Framing("headers too long")) } else { Ok(None) };
+        return if bytes.len() > MAX_MESSAGE_BYTES {
+            Err(SipError::Framing("headers too long"))
+        } else {
+            Ok(None)
+        };
     };
     let first = bytes.windows(2).position(|two| two == b"\r\n").unwrap_or(0);
     let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
@@ -84,7 +88,7 @@
     let length = header("Content-Length", "l").and_then(|l| l.parse::<usize>().ok());
     let length = length.ok_or(SipError::Framing("no Content-Length"))?;
     let whole = end.saturating_add(length);
-    if whole > MESSAGE {
+    if whole > MAX_MESSAGE_BYTES {
         return Err(SipError::Framing("longer than a message may be"));
     }
     if bytes.len() < whole {
@@ -107,22 +111,22 @@
         via: text("Via", "v"),
         note: text("P-Reason", ""),
         line_ms: header("P-Line-Ms", "").and_then(|ms| ms.parse().ok()),
-        report: report_of(header("P-Report", "").unwrap_or_default()),
+        report: parse_report(header("P-Report", "").unwrap_or_default()),
         cause: header("Reason", "").and_then(cause_in),
         body: bytes[end..whole].to_vec(),
     };
     Ok(Some((message, whole)))
 }
 
-fn start_of(line: &str) -> Option<Start> {
+fn start_of(line: &str) -> Option<StartLine> {
     if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
         let code = rest.split(' ').next()?.parse().ok()?;
-        return (100..700).contains(&code).then_some(Start::Answer(code));
+        return (100..700).contains(&code).then_some(StartLine::Response(code));
     }
     let mut words = line.split(' ');
     let (method, _uri, version) = (words.next()?, words.next()?, words.next()?);
     let right = version == "SIP/2.0" && !method.is_empty() && words.next().is_none();
-    right.then(|| Start::Request(method.to_owned()))
+    right.then(|| StartLine::Request(method.to_owned()))
 }
 
 /// `Q.850;cause=16`
@@ -131,7 +135,7 @@
 }
 
 /// `x0:12;x1:40;queue:3`; what cannot be read is left out.
-pub fn report_of(text: &str) -> LoadValues {
+pub fn parse_report(text: &str) -> LoadValues {
     let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
     let figures =
         pairs.filter_map(|(name, value)| Some((LoadField::named(name.trim()), value.trim().parse().ok()?)));
@@ -139,7 +143,7 @@
 }
 
 /// What a final answer but 2xx to an INVITE means.
-pub fn refusal_of(message: &Message, code: u16) -> (Refusal, Cause) {
+pub fn refusal_from_response(message: &Message, code: u16) -> (Refusal, Cause) {
     let refusal = match code {
         503 => Refusal::Full,
         480 => Refusal::NotSent,
@@ -169,7 +173,7 @@
 }
 
 /// Our answer to a request.
-pub fn answer(code: u16, phrase: &str, to: &Message) -> Bytes {
+pub fn response(code: u16, phrase: &str, to: &Message) -> Bytes {
     let Message { via, call_id, cseq: (no, method), .. } = to;
     format!(
         "SIP/2.0 {code} {phrase}\r\nVia: {via}\r\nCall-ID: {call_id}\r\nCSeq: {no} {method}\r\nContent-Length: 0\r\n\r\n"
--- a/src/upstream/sip/mod.rs
+++ b/src/upstream/sip/mod.rs
@@ -13,10 +13,10 @@
 
 use crate::core::{AttemptError, DeadlineOwner, Input, Progress, ServerEvent, Sid, TransportError};
 use crate::interface::{ServerId, Span, Time};
-use crate::net::conn::End;
+use crate::net::conn::CloseReason;
 use crate::net::queue::{Budget, WriteQueue};
-use crate::upstream::Todo;
-use message::{answer, refusal_of, report_of, request, Message, Start};
+use crate::upstream::AdapterOutput;
+use message::{parse_report, refusal_from_response, request, response, Message, StartLine};
 
 /// Connections to one call server at most. Set-ups are spread over them: whatever spoils or ends one costs the others
 /// nothing.
@@ -56,9 +56,9 @@
     /// It was refused: no process is there.
     Refused,
     /// It was not made in time, or could not be made.
-    NotMade,
+    ConnectFailed,
     /// It stood and ended.
-    Ended(End),
+    Closed(CloseReason),
 }
 
 /// A set-up on a connection.
@@ -151,17 +151,17 @@
     /// Connections made.
     pub connected: u64,
     /// Connections that could not be made.
-    pub not_made: u64,
+    pub connect_failures: u64,
     /// Set-ups that went to another connection because theirs ended before they left.
     pub moved: u64,
     /// Connections ended because of what came on them.
-    pub spoilt: u64,
+    pub closed_malformed: u64,
     /// Connections ended because nothing came on them while others spoke.
     pub stale: u64,
 }
 
 /// What a process goes on with.
-pub struct Resumed {
+pub struct ResumedTrunks {
     /// All of it.
     pub trunks: Trunks,
     /// Connections to be made.
@@ -189,19 +189,24 @@
 impl Trunks {
     /// No call server yet; what waits to be written to them counts against a budget, and so many connections may be
     /// made beyond one for each.
-    pub fn within(budget: &Budget, most_links: usize) -> Self {
+    pub fn with_budget(budget: &Budget, most_links: usize) -> Self {
         Self { budget: budget.clone(), most_links, ..Self::default() }
     }
 
     /// Goes on with what another process held. Returns the connections that it had not made yet: their numbers and
     /// where to. `stands`: whether the socket of one has come along; one without it has ended.
-    pub fn resume(mut self, budget: &Budget, most_links: usize, stands: impl Fn(u64) -> bool) -> Resumed {
+    pub fn resume(
+        mut self,
+        budget: &Budget,
+        most_links: usize,
+        stands: impl Fn(u64) -> bool,
+    ) -> ResumedTrunks {
         (self.budget, self.most_links) = (budget.clone(), most_links);
         let (mut to_make, mut lost) = (Vec::new(), Vec::new());
         for trunk in self.trunks.values_mut() {
             for (no, link) in &mut trunk.links {
                 if let Some(queue) = Rc::get_mut(&mut link.queue) {
-                    queue.adopt(budget);
+                    queue.move_to_budget(budget);
                 }
                 match link.up {
                     None => to_make.push((*no, trunk.dial)),
@@ -210,18 +215,24 @@
                 }
             }
         }
-        Resumed { trunks: self, to_make, lost }
+        ResumedTrunks { trunks: self, to_make, lost }
     }
 
     /// From now on so many connections may be made beyond one for each call server.
-    pub fn set_most_links(&mut self, most_links: usize) {
+    pub fn set_max_links(&mut self, most_links: usize) {
         self.most_links = most_links;
     }
 
     /// Keeps up a way to a call server. One that started anew has none of the connections made before that. Those
     /// made since are its own: the list tells of a start seconds late, and what is under way on them must not be
     /// lost. Guards against releases that crossed our closing of the connection they came on.
-    pub fn reach(&mut self, server: ServerId, dial: SocketAddr, fresh: Option<Time>, todo: &mut Todo) {
+    pub fn connect(
+        &mut self,
+        server: ServerId,
+        dial: SocketAddr,
+        fresh: Option<Time>,
+        todo: &mut AdapterOutput,
+    ) {
         if let Some(born) = fresh {
             self.drop_links(server, dial, born, todo);
         }
@@ -245,7 +256,7 @@
     }
 
     /// Makes no more ways to a call server. Those that are there end by themselves: releases may still come on them.
-    pub fn leave(&mut self, server: ServerId) {
+    pub fn stop_connecting(&mut self, server: ServerId) {
         if let Some(trunk) = self.trunks.get_mut(&server) {
             trunk.wanted = false;
             trunk.waiting.clear();
@@ -253,17 +264,24 @@
     }
 
     /// A call stands there, as the records of a life before tell: its call server's silence is watched from now on.
-    pub fn adopt(&mut self, server: ServerId, sid: Sid, number: Rc<str>, now: Time, todo: &mut Todo) {
+    pub fn restore_call(
+        &mut self,
+        server: ServerId,
+        sid: Sid,
+        number: Rc<str>,
+        now: Time,
+        todo: &mut AdapterOutput,
+    ) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         trunk.standing.insert(sid, number);
         if !std::mem::replace(&mut trunk.watched, true) {
             trunk.heard = trunk.heard.max(now);
-            todo.dues.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, u64::from(server.address)));
+            todo.deadlines.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, u64::from(server.address)));
         }
     }
 
     /// Looks whether a call server with calls has been silent for too long.
-    pub fn watch(&mut self, key: u64, now: Time, todo: &mut Todo) {
+    pub fn check_silence(&mut self, key: u64, now: Time, todo: &mut AdapterOutput) {
         let server = ServerId { address: u32::try_from(key).unwrap_or(0), port: 0 };
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         trunk.watched = !trunk.standing.is_empty();
@@ -276,7 +294,7 @@
             self.died(server, todo);
             return;
         }
-        todo.dues.push((
+        todo.deadlines.push((
             trunk.heard.plus(CUT_AFTER).min(now.plus(LOOK_EVERY)),
             DeadlineOwner::SipSilence,
             key,
@@ -288,7 +306,7 @@
         if let Some((no, queue)) = stale {
             self.counts.stale += 1;
             queue.abort();
-            self.end_link(server, no, LinkEnd::Ended(End::Ours), now, todo);
+            self.end_link(server, no, LinkEnd::Closed(CloseReason::ClosedHere), now, todo);
             self.open_link(server, todo);
             return;
         }
@@ -299,7 +317,7 @@
     }
 
     /// The calls there are over as far as anybody here can know; should it live, it is told so.
-    fn died(&mut self, server: ServerId, todo: &mut Todo) {
+    fn died(&mut self, server: ServerId, todo: &mut AdapterOutput) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         for (sid, number) in std::mem::take(&mut trunk.standing) {
             if trunk.wanted && trunk.waiting.len() < MOST_WAITING {
@@ -311,14 +329,14 @@
     }
 
     /// Another call server has its address: its process is gone, and its calls with it.
-    pub fn replaced(&mut self, server: ServerId, todo: &mut Todo) {
-        self.leave(server);
+    pub fn replaced(&mut self, server: ServerId, todo: &mut AdapterOutput) {
+        self.stop_connecting(server);
         let links = self.trunks.get(&server).map(|t| t.links.keys().copied().collect::<Vec<_>>());
         for link in links.into_iter().flatten() {
             if let Some(queue) = self.queue_of(link) {
                 queue.abort();
             }
-            self.end_link(server, link, LinkEnd::Ended(End::Ours), Time::default(), todo);
+            self.end_link(server, link, LinkEnd::Closed(CloseReason::ClosedHere), Time::default(), todo);
         }
         if let Some(trunk) = self.trunks.get_mut(&server) {
             trunk.standing.clear();
@@ -335,7 +353,7 @@
         }
     }
 
-    fn drop_links(&mut self, server: ServerId, dial: SocketAddr, born: Time, todo: &mut Todo) {
+    fn drop_links(&mut self, server: ServerId, dial: SocketAddr, born: Time, todo: &mut AdapterOutput) {
         let Some(trunk) = self.trunks.get(&server) else { return };
         let moved = trunk.dial != dial;
         let old = trunk.links.iter().filter(|(_, l)| moved || l.up.is_some_and(|since| since < born));
@@ -344,15 +362,15 @@
             if let Some(l) = self.trunks.get(&server).and_then(|t| t.links.get(&link)) {
                 l.queue.abort();
             }
-            self.end_link(server, link, LinkEnd::Ended(End::Ours), Time::default(), todo);
+            self.end_link(server, link, LinkEnd::Closed(CloseReason::ClosedHere), Time::default(), todo);
         }
     }
 
-    fn open_link(&mut self, server: ServerId, todo: &mut Todo) -> Option<u64> {
+    fn open_link(&mut self, server: ServerId, todo: &mut AdapterOutput) -> Option<u64> {
         let trunk = self.trunks.get_mut(&server)?;
         let no = self.next_link;
         self.next_link += 1;
-        let queue = Rc::new(WriteQueue::within(&self.budget));
+        let queue = Rc::new(WriteQueue::with_budget(&self.budget));
         queue.hold(true);
         trunk.links.insert(
             no,
@@ -368,7 +386,7 @@
             },
         );
         self.of_link.insert(no, server);
-        todo.links.push((no, trunk.dial));
+        todo.connects.push((no, trunk.dial));
         Some(no)
     }
 
@@ -389,7 +407,7 @@
         left: Span,
         body: &str,
         now: Time,
-        todo: &mut Todo,
+        todo: &mut AdapterOutput,
     ) {
         let lost = |progress, why| {
             Input::Server(server, sid, ServerEvent::Lost(AttemptError { error: why, progress }))
@@ -412,7 +430,7 @@
     /// The connection that the next set-up goes on: one that stands and speaks, with the fewest set-ups open. Where each
     /// has some, another is made for those to come. A call that was given up on one goes on another if it can: the last word
     /// on its first set-up must not be taken for that on the next.
-    fn pick(&mut self, server: ServerId, sid: Sid, now: Time, todo: &mut Todo) -> Option<u64> {
+    fn pick(&mut self, server: ServerId, sid: Sid, now: Time, todo: &mut AdapterOutput) -> Option<u64> {
         let spare = self.of_link.len() < self.trunks.len() + self.most_links;
         let trunk = self.trunks.get(&server).filter(|t| t.wanted)?;
         // A second one is always to be had: the first may have gone silent.
@@ -444,7 +462,7 @@
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         for link in trunk.links.values_mut() {
             let Some(SetUpOut { number, .. }) = link.out.remove(&sid) else { continue };
-            if link.queue.take_back(sid) {
+            if link.queue.cancel_unsent(sid) {
                 self.counts.withdrawn += 1;
             } else {
                 link.queue.push(request("CANCEL", &number, sid, (1, "CANCEL"), "", ""), None);
@@ -454,7 +472,7 @@
     }
 
     /// Ends a call that stands there, on any connection, or on the next.
-    pub fn bye(&mut self, server: ServerId, sid: Sid, cause: u16, now: Time, todo: &mut Todo) {
+    pub fn bye(&mut self, server: ServerId, sid: Sid, cause: u16, now: Time, todo: &mut AdapterOutput) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         let number = trunk.standing.remove(&sid);
         let extra = format!("Reason: Q.850;cause={cause}\r\n");
@@ -472,11 +490,11 @@
     }
 
     /// Takes back every set-up of which no byte has left.
-    pub fn withdraw(&mut self, server: ServerId, todo: &mut Todo) {
+    pub fn cancel_queued(&mut self, server: ServerId, todo: &mut AdapterOutput) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         for link in trunk.links.values_mut() {
             let progress = if link.up.is_some() { Progress::Queued } else { Progress::NotConnected };
-            for sid in link.queue.take_back_all() {
+            for sid in link.queue.cancel_all_unsent() {
                 link.out.remove(&sid);
                 self.counts.withdrawn += 1;
                 let error = AttemptError { error: TransportError::Cancelled, progress };
@@ -486,7 +504,7 @@
     }
 
     /// A connection was made.
-    pub fn link_up(&mut self, no: u64, now: Time, todo: &mut Todo) {
+    pub fn link_up(&mut self, no: u64, now: Time, todo: &mut AdapterOutput) {
         let Some(server) = self.of_link.get(&no) else { return };
         let Some(trunk) = self.trunks.get_mut(server) else { return };
         self.counts.connected += 1;
@@ -498,11 +516,11 @@
         for bytes in waiting {
             link.queue.push(bytes, None);
         }
-        todo.dues.push((now.plus(FIRST_WORD), DeadlineOwner::SipFirstMessage, no));
+        todo.deadlines.push((now.plus(FIRST_WORD), DeadlineOwner::SipFirstMessage, no));
     }
 
     /// A connection that stands may carry set-ups now, whether its call server has said something on it or not.
-    pub fn carries(&mut self, no: u64) {
+    pub fn first_message_overdue(&mut self, no: u64) {
         let Some(server) = self.of_link.get(&no) else { return };
         let link = self.trunks.get_mut(server).and_then(|t| t.links.get_mut(&no));
         if let Some(link) = link.filter(|l| l.up.is_some() && !l.speaks) {
@@ -512,10 +530,10 @@
     }
 
     /// A connection ended or could not be made.
-    pub fn link_ended(&mut self, no: u64, how: LinkEnd, now: Time, todo: &mut Todo) {
+    pub fn link_ended(&mut self, no: u64, how: LinkEnd, now: Time, todo: &mut AdapterOutput) {
         let Some(&server) = self.of_link.get(&no) else { return };
-        if how == LinkEnd::Ended(End::Unreadable) || how == LinkEnd::Ended(End::Short) {
-            self.counts.spoilt += 1;
+        if how == LinkEnd::Closed(CloseReason::Malformed) || how == LinkEnd::Closed(CloseReason::Incomplete) {
+            self.counts.closed_malformed += 1;
         }
         self.end_link(server, no, how, now, todo);
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
@@ -525,8 +543,8 @@
             // Guards against calls that stand cut at a mere reset: any connection may be reset on its way. A process
             // that has died refuses the next one, which is made for that at once.
             // One that has left the list and whose last connection ends has nothing more to say.
-            LinkEnd::Ended(End::Closed | End::Reset) => !trunk.wanted,
-            LinkEnd::Ended(_) | LinkEnd::NotMade => false,
+            LinkEnd::Closed(CloseReason::Closed | CloseReason::Reset) => !trunk.wanted,
+            LinkEnd::Closed(_) | LinkEnd::ConnectFailed => false,
         };
         if dead && none_up {
             // Guards against calls left standing at callers when the process that carried them dies: it sends no
@@ -536,21 +554,25 @@
         }
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         if trunk.wanted && trunk.links.is_empty() {
-            todo.dues.push((now.plus(trunk.again), DeadlineOwner::SipReconnect, u64::from(server.address)));
+            todo.deadlines.push((
+                now.plus(trunk.again),
+                DeadlineOwner::SipReconnect,
+                u64::from(server.address),
+            ));
             trunk.again = Span(trunk.again.0.saturating_mul(2)).min(AGAIN.1);
         }
     }
 
     /// Takes a connection off the books. Each set-up on it is settled by how far it had come: one that has left may have
     /// run; one that has not goes to another connection, since only this one was at fault.
-    fn end_link(&mut self, server: ServerId, no: u64, how: LinkEnd, now: Time, todo: &mut Todo) {
+    fn end_link(&mut self, server: ServerId, no: u64, how: LinkEnd, now: Time, todo: &mut AdapterOutput) {
         self.of_link.remove(&no);
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         let Some(mut link) = trunk.links.remove(&no) else { return };
-        if !matches!(how, LinkEnd::Ended(_)) {
-            self.counts.not_made += 1;
+        if !matches!(how, LinkEnd::Closed(_)) {
+            self.counts.connect_failures += 1;
         }
-        let rest = link.queue.take_rest();
+        let rest = link.queue.take_unsent();
         let mut waiting = Vec::new();
         for item in rest {
             let Some(sid) = item.set_up else {
@@ -558,7 +580,7 @@
                 continue;
             };
             let Some(set_up) = link.out.remove(&sid) else { continue };
-            let stood = matches!(how, LinkEnd::Ended(end) if end != End::Ours);
+            let stood = matches!(how, LinkEnd::Closed(end) if end != CloseReason::ClosedHere);
             if !(stood
                 && set_up.moves < MOST_MOVES
                 && self.move_on(server, sid, &set_up, &item.bytes, now, todo))
@@ -600,7 +622,7 @@
         set_up: &SetUpOut,
         bytes: &Bytes,
         now: Time,
-        todo: &mut Todo,
+        todo: &mut AdapterOutput,
     ) -> bool {
         let Some(no) = self.pick(server, sid, now, todo) else { return false };
         let link = self.trunks.get_mut(&server).and_then(|t| t.links.get_mut(&no));
@@ -613,12 +635,12 @@
     }
 
     /// Where the call server of a connection is.
-    pub fn dial_of(&self, link: u64) -> Option<SocketAddr> {
+    pub fn address_of(&self, link: u64) -> Option<SocketAddr> {
         Some(self.trunks.get(self.of_link.get(&link)?)?.dial)
     }
 
     /// A wait before the next connection is over.
-    pub fn due(&mut self, key: u64, todo: &mut Todo) {
+    pub fn reconnect(&mut self, key: u64, todo: &mut AdapterOutput) {
         let server = ServerId { address: u32::try_from(key).unwrap_or(0), port: 0 };
         if self.trunks.get(&server).is_some_and(|t| t.wanted && t.links.is_empty()) {
             self.open_link(server, todo);
@@ -626,7 +648,7 @@
     }
 
     /// A message came on a connection.
-    pub fn message(&mut self, no: u64, message: &Message, now: Time, todo: &mut Todo) {
+    pub fn handle_message(&mut self, no: u64, message: &Message, now: Time, todo: &mut AdapterOutput) {
         self.counts.received += 1;
         let Some(&server) = self.of_link.get(&no) else { return };
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
@@ -635,9 +657,9 @@
         // Guards against calls left standing at a machine that has vanished: an answer that was held up on its way is no
         // word of today. It tells that the call server lived when it was asked.
         let word = match (&message.start, Sid::parse(&message.call_id).and_then(|sid| link.out.get(&sid))) {
-            (Start::Request(_), _) => now,
-            (Start::Answer(_), Some(set_up)) => set_up.since,
-            (Start::Answer(_), None) => link.heard,
+            (StartLine::Request(_), _) => now,
+            (StartLine::Response(_), Some(set_up)) => set_up.since,
+            (StartLine::Response(_), None) => link.heard,
         };
         link.heard = link.heard.max(word);
         trunk.heard = trunk.heard.max(word);
@@ -646,8 +668,8 @@
         }
         let sid = Sid::parse(&message.call_id);
         match (&message.start, message.cseq.1.as_str(), sid) {
-            (Start::Answer(100..=199), _, _) => {}
-            (Start::Answer(code), "INVITE", Some(sid)) => {
+            (StartLine::Response(100..=199), _, _) => {}
+            (StartLine::Response(code), "INVITE", Some(sid)) => {
                 let mut number = link.out.remove(&sid).map(|set_up| set_up.number);
                 let late = number.is_none() && link.was_given_up(sid);
                 if late && *code >= 300 {
@@ -679,7 +701,7 @@
                         }
                         if asked && !std::mem::replace(&mut trunk.watched, true) {
                             let key = u64::from(server.address);
-                            todo.dues.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, key));
+                            todo.deadlines.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, key));
                         }
                         ServerEvent::Answered(body.into())
                     }
@@ -692,24 +714,26 @@
                         ServerEvent::Lost(error)
                     }
                     (code, _) => {
-                        let (refusal, cause) = refusal_of(message, code);
+                        let (refusal, cause) = refusal_from_response(message, code);
                         ServerEvent::Refused(refusal, cause, message.report.clone())
                     }
                 };
                 todo.inputs.push(Input::Server(server, sid, says));
             }
-            (Start::Answer(_), "BYE", Some(sid)) => link.unheard.retain(|(unheard, ..)| *unheard != sid),
-            (Start::Answer(_), _, _) => {}
-            (Start::Request(method), _, sid) => match (method.as_str(), sid) {
+            (StartLine::Response(_), "BYE", Some(sid)) => {
+                link.unheard.retain(|(unheard, ..)| *unheard != sid)
+            }
+            (StartLine::Response(_), _, _) => {}
+            (StartLine::Request(method), _, sid) => match (method.as_str(), sid) {
                 ("BYE", Some(sid)) => {
-                    link.queue.push(answer(200, "OK", message), None);
+                    link.queue.push(response(200, "OK", message), None);
                     link.out.remove(&sid);
                     trunk.standing.remove(&sid);
                     let says = ServerEvent::Released(message.cause.unwrap_or(16), message.report.clone());
                     todo.inputs.push(Input::Server(server, sid, says));
                 }
                 ("NOTIFY", _) => {
-                    let in_body = std::str::from_utf8(&message.body).map(report_of).unwrap_or_default();
+                    let in_body = std::str::from_utf8(&message.body).map(parse_report).unwrap_or_default();
                     let report = if message.report.is_empty() { in_body } else { message.report.clone() };
                     if !report.is_empty() {
                         todo.inputs.push(Input::Load(server, report));
@@ -717,11 +741,11 @@
                 }
                 ("ACK", _) => {}
                 ("OPTIONS", _) => {
-                    link.queue.push(answer(200, "OK", message), None);
+                    link.queue.push(response(200, "OK", message), None);
                 }
                 _ => {
                     self.counts.malformed += 1;
-                    link.queue.push(answer(501, "Not Implemented", message), None);
+                    link.queue.push(response(501, "Not Implemented", message), None);
                 }
             },
         }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -9,8 +9,8 @@
 
 use lockpoint::config::{DnsSdConfig, Iax2Config};
 use lockpoint::interface::{ServerState, Span};
-use lockpoint::net::conn::{serve, Line, Reader, Unreadable};
-use lockpoint::net::pool::Pool;
+use lockpoint::net::conn::{serve, Connection, MalformedInput, MessageReader};
+use lockpoint::net::pool::BufferPool;
 use lockpoint::net::queue::WriteQueue;
 use rstest::rstest;
 use serde_json::{json, Value};
@@ -394,15 +394,15 @@
 
 struct Hears(Rc<RefCell<Vec<u8>>>);
 
-impl Reader for Hears {
-    fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
+impl MessageReader for Hears {
+    fn read(&mut self, bytes: &[u8]) -> Result<usize, MalformedInput> {
         self.0.borrow_mut().extend_from_slice(bytes);
         Ok(bytes.len())
     }
-    fn ended(&mut self) -> bool {
+    fn end_of_stream(&mut self) -> bool {
         false
     }
-    fn patience(&self) -> Duration {
+    fn message_timeout(&self) -> Duration {
         Duration::from_secs(1)
     }
 }
@@ -420,11 +420,11 @@
         drop(there);
         // The reset has come too, and the first thing that is done with the connection is a write.
         let (line, queue, heard) =
-            (Line::new(here), WriteQueue::default(), Rc::new(RefCell::new(Vec::new())));
+            (Connection::new(here), WriteQueue::default(), Rc::new(RefCell::new(Vec::new())));
         in_time("writable", line.stream().writable()).await.expect("writable");
         assert!(queue.push("x".into(), None));
         let mut reader = Hears(heard.clone());
-        let end = in_time("the end", serve(&line, &queue, &Pool::new(64), &mut reader)).await;
+        let end = in_time("the end", serve(&line, &queue, &BufferPool::new(64), &mut reader)).await;
         assert_eq!(heard.borrow().as_slice(), b"an answer", "ended: {end}");
     });
 }
--- a/tests/iax2_registration.rs
+++ b/tests/iax2_registration.rs
@@ -7,15 +7,15 @@
 
 use lockpoint::config::{Iax2Config, Iax2Secrets};
 use lockpoint::core::{DeadlineOwner, DirectoryEntry, Input, Source};
-use lockpoint::front::iax2::door::Door;
+use lockpoint::front::iax2::call_token_gate::CallTokenGate;
 use lockpoint::front::iax2::registration::apparent;
-use lockpoint::front::iax2::{Callers, Usual};
+use lockpoint::front::iax2::{Callers, Defaults};
 use lockpoint::iax2::auth::{Account, Users};
 use lockpoint::iax2::frame::{ie, parse, Datagram, Elements, Frame, Iax, Kind};
 use lockpoint::iax2::legs::{LegEvent, Legs, Outgoing};
 use lockpoint::iax2::tokens::TokenPolicy;
 use lockpoint::interface::{Span, Time};
-use lockpoint::upstream::Todo;
+use lockpoint::upstream::AdapterOutput;
 use support::iax2::{IaxCaller, IaxServer};
 use support::{name, on_one_thread, Controller, Does, What, World};
 
@@ -40,22 +40,26 @@
 
 impl Pair {
     fn new() -> Pair {
-        let usual =
-            Usual { class: "c".into(), left: Span::from_millis(9_000), zones: vec!["east".into()], seed: 1 };
-        let mut front = Callers::new(usual, Door::new(TokenPolicy::Required, [2; 32]));
+        let usual = Defaults {
+            class: "c".into(),
+            left: Span::from_millis(9_000),
+            zones: vec!["east".into()],
+            seed: 1,
+        };
+        let mut front = Callers::new(usual, CallTokenGate::new(TokenPolicy::Required, [2; 32]));
         front.reconfigure(Span::from_millis(9_000), &[], TokenPolicy::Required, Default::default());
-        front.examine(Users::parse(USERS).ok().as_ref(), [3; 32]);
+        front.set_users(Users::parse(USERS).ok().as_ref(), [3; 32]);
         let at = SocketAddr::from(([127, 0, 0, 1], 4_001));
         Pair { front, peer: Legs::default(), at, now: Time(1_700_000_000_000_000), list: None, due: None }
     }
 
-    fn took(&mut self, todo: Todo) -> Vec<Outgoing> {
+    fn took(&mut self, todo: AdapterOutput) -> Vec<Outgoing> {
         for input in todo.inputs {
             let Input::List { source, whole, hosts } = input else { panic!("{input:?}") };
             assert_eq!((source, whole), (Source::Registered, true));
             self.list = Some(hosts);
         }
-        for (at, part, key) in todo.dues {
+        for (at, part, key) in todo.deadlines {
             assert_eq!(part, DeadlineOwner::Iax2Front);
             self.due = if key > 0xffff { Some((at, key)) } else { self.due };
         }
@@ -75,8 +79,8 @@
         while !out.is_empty() {
             let mut back = Vec::new();
             for (_, bytes) in out.drain(..) {
-                let mut todo = Todo::default();
-                self.front.datagram(self.at, &bytes, self.now, &mut todo);
+                let mut todo = AdapterOutput::default();
+                self.front.handle_datagram(self.at, &bytes, self.now, &mut todo);
                 back.extend(self.took(todo));
             }
             for (_, bytes) in back {
@@ -98,8 +102,8 @@
         let until = self.now.plus(Span::from_millis(secs * 1_000));
         while let Some((at, key)) = self.due.filter(|(at, _)| *at <= until) {
             (self.now, self.due) = (at, None);
-            let mut todo = Todo::default();
-            self.front.due(key, at, &mut todo);
+            let mut todo = AdapterOutput::default();
+            self.front.run_timer(key, at, &mut todo);
             self.took(todo);
         }
         self.now = until;
@@ -160,8 +164,8 @@
     assert_eq!(dial(&pair), [4_002], "who is not there takes nobody away");
     // A user who is struck from the file is gone with the reload.
     let rest = Users::parse("[user.box]\nsecret = 'b'\n").expect("good");
-    pair.front.examine(Some(&rest), [3; 32]);
-    let (mut todo, now) = (Todo::default(), pair.now);
+    pair.front.set_users(Some(&rest), [3; 32]);
+    let (mut todo, now) = (AdapterOutput::default(), pair.now);
     pair.front.expire(now, &mut todo);
     pair.took(todo);
     assert!(dial(&pair).is_empty());
--- a/tests/iax2_tokens.rs
+++ b/tests/iax2_tokens.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use lockpoint::config::{DnsSdConfig, Iax2Config};
-use lockpoint::front::iax2::door::Door;
+use lockpoint::front::iax2::call_token_gate::CallTokenGate;
 use lockpoint::iax2::frame::{ie, parse, Datagram, Elements, Frame, Iax, Kind};
 use lockpoint::iax2::tokens::TokenPolicy;
 use support::iax2::{IaxCaller, IaxServer, Resolver, SERVICE};
@@ -28,7 +28,7 @@
         let world = World::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
         let server = IaxServer::start(&world, "i0", Does::Answer("a".into())).await;
-        *server.door.borrow_mut() = Door::new(TokenPolicy::Required, [9; 32]);
+        *server.door.borrow_mut() = CallTokenGate::new(TokenPolicy::Required, [9; 32]);
         resolver.name_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
         let controller = controller(&bulletin, &resolver, TokenPolicy::Required).await;
         let at = controller.iax2_at.expect("a port");
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,11 +4,11 @@
 
 use lockpoint::config::{parse_operator, parse_platform, Limits};
 use lockpoint::core::{Refusal, Sid};
-use lockpoint::directory::bulletin::{parse_answer, parse_page};
+use lockpoint::directory::bulletin::{parse_page, parse_response};
 use lockpoint::front::jsonl::{self, Line};
 use lockpoint::iax2::frame::{self, Control, Datagram, Elements, Frame, FrameError, Iax, Kind, TrunkEntry};
 use lockpoint::interface::{Cause, Cell, LoadField, ServerState, Span};
-use lockpoint::upstream::sip::message::{self, Message, SipError, Start};
+use lockpoint::upstream::sip::message::{self, Message, SipError, StartLine};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -89,7 +89,7 @@
     }
     let two = format!("{ANSWER}{ANSWER}");
     let (message, used) = read(two.as_bytes()).expect("readable").expect("whole");
-    assert_eq!((message.start, used), (Start::Answer(200), ANSWER.len()));
+    assert_eq!((message.start, used), (StartLine::Response(200), ANSWER.len()));
     assert_eq!((message.call_id.as_str(), message.cseq), ("9b1f03aa5c7e2d41", (1, "INVITE".to_owned())));
     let figures = [(LoadField::Idle, 12.0), (LoadField::Circuits, 40.0), (LoadField::Pending, 3.0)];
     assert_eq!((message.report, message.body), (figures.to_vec(), b"a\r\nb".to_vec()));
@@ -135,7 +135,7 @@
 fn sip_refusals(#[case] code: u16, #[case] headers: &str, #[case] refusal: Refusal, #[case] cause: Cause) {
     let text = format!("SIP/2.0 {code} X\r\nCSeq: 1 INVITE\r\n{headers}Content-Length: 0\r\n\r\n");
     let (message, _) = read(text.as_bytes()).expect("readable").expect("whole");
-    assert_eq!(message::refusal_of(&message, code), (refusal, cause));
+    assert_eq!(message::refusal_from_response(&message, code), (refusal, cause));
 }
 
 #[test]
@@ -172,7 +172,7 @@
 #[case::chunk_not_whole("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na", false, None)]
 #[case::head_not_whole("HTTP/1.1 200", false, None)]
 fn http_answers(#[case] text: &str, #[case] ended: bool, #[case] body: Option<(&str, usize)>) {
-    let got = parse_answer(text.as_bytes(), ended).expect("readable");
+    let got = parse_response(text.as_bytes(), ended).expect("readable");
     assert_eq!(got, body.map(|(body, used)| (body.as_bytes().to_vec(), used)));
 }
 
@@ -184,7 +184,7 @@
 #[case::no_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")]
 #[case::cut_short("HTTP/1.1 2")]
 fn http_faults(#[case] text: &str) {
-    assert!(parse_answer(text.as_bytes(), true).is_err());
+    assert!(parse_response(text.as_bytes(), true).is_err());
 }
 
 // ---- IAX2 ------------------------------------------------------------------------------------------------
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -202,12 +202,12 @@
     }
     /// The next request: its method and its call; `None`: the connection has ended.
     pub async fn next(&mut self) -> Option<(String, String)> {
-        use lockpoint::upstream::sip::message::{parse, Start};
+        use lockpoint::upstream::sip::message::{parse, StartLine};
         use tokio::io::AsyncReadExt;
         loop {
             if let Ok(Some((message, used))) = parse(&self.bytes) {
                 self.bytes.drain(..used);
-                if let Start::Request(method) = message.start {
+                if let StartLine::Request(method) = message.start {
                     return Some((method, message.call_id));
                 }
                 continue;
