--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: buffers of one size from a pool, queues of whole messages to write, connections, peer datagrams.
+//! Sockets: pooled read buffers, write queues of whole messages, connections, datagrams between peers.
 
 pub mod client_connections;
 pub mod conn;
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,23 +1,23 @@
-//! Datagrams between the controllers of a tier.
+//! Datagrams between the controllers of a cluster.
 
 use std::net::SocketAddr;
 
 use tokio::net::UdpSocket;
 
-/// The longest datagram that may be sent to a peer.
+/// Longest datagram to a peer.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Where the peers are.
+/// Addresses of the peers.
 #[derive(Debug, Clone, Default)]
 pub struct Peers {
-    /// By number.
+    /// Each peer's address, indexed by controller number.
     pub addresses: Vec<SocketAddr>,
-    /// All of them at once.
+    /// The address that reaches all peers at once.
     pub broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Sends without waiting; what cannot be sent now is lost, as any datagram may be.
+    /// Sends without blocking, to one peer or (`None`) to all. A datagram that cannot be sent now is dropped.
     pub fn send(&self, socket: &UdpSocket, to: Option<u16>, data: &[u8]) -> bool {
         let to = match to {
             Some(no) => self.addresses.get(usize::from(no)).copied(),
--- a/src/net/queue.rs
+++ b/src/net/queue.rs
@@ -1,4 +1,5 @@
-//! What is to be written on a connection: whole messages, so that those of which no byte has left can be taken back.
+//! Write queue of a connection. It holds whole messages, so that those of which no byte has been written can
+//! be withdrawn.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -12,41 +13,41 @@
 
 use crate::core::Sid;
 
-/// Bytes that may wait on one connection.
-const MOST_WAITING: usize = 128 * 1024;
-/// Of these, what set-ups may take. The rest is for what ends calls: a set-up that has left and is given up while others
-/// wait behind it must be taken back where it went.
-const MOST_SET_UPS: usize = 96 * 1024;
+/// Largest number of bytes queued on one connection.
+const MAX_QUEUED_BYTES: usize = 128 * 1024;
+/// Share of these bytes that set-ups may use. The rest is for messages that end calls: a set-up that has been
+/// sent and is given up while others wait behind it must be cancelled on the same connection.
+const MAX_SET_UP_BYTES: usize = 96 * 1024;
 
-/// Bytes that may wait on many connections together. Guards against callers who ask much and read nothing: each is
-/// within its bounds, and all together would take the memory that the platform allows.
+/// Limit on the bytes queued on many connections together. Callers that ask for much and read nothing each
+/// stay within their own limit, but together would exhaust the memory the platform allows.
 #[derive(Debug, Clone)]
-pub struct Budget(Rc<Account>);
+pub struct Budget(Rc<BudgetState>);
 
 #[derive(Debug)]
-struct Account {
+struct BudgetState {
     used: Cell<usize>,
-    most: Cell<usize>,
-    /// Set-ups that have left whole.
+    max: Cell<usize>,
+    /// Set-ups written completely.
     set_ups: Cell<u64>,
 }
 
 impl Budget {
-    /// So many bytes.
-    pub fn new(most: usize) -> Self {
-        Self(Rc::new(Account { used: Cell::new(0), most: Cell::new(most), set_ups: Cell::new(0) }))
+    /// A budget of `max` bytes.
+    pub fn new(max: usize) -> Self {
+        Self(Rc::new(BudgetState { used: Cell::new(0), max: Cell::new(max), set_ups: Cell::new(0) }))
     }
-    /// From now on so many.
-    pub fn set_max(&self, most: usize) {
-        self.0.most.set(most);
+    /// Changes the limit.
+    pub fn set_max(&self, max: usize) {
+        self.0.max.set(max);
     }
-    /// Set-ups that were written whole.
+    /// Set-ups written completely.
     pub fn set_ups_written(&self) -> u64 {
         self.0.set_ups.get()
     }
     fn take(&self, bytes: usize) -> bool {
-        let Account { used, most, .. } = &*self.0;
-        let fits = used.get() + bytes <= most.get();
+        let BudgetState { used, max, .. } = &*self.0;
+        let fits = used.get() + bytes <= max.get();
         if fits {
             used.set(used.get() + bytes);
         }
@@ -58,25 +59,25 @@
 }
 
 impl Default for Budget {
-    /// Bounded by each connection's own limit alone.
+    /// No common limit, only that of each connection.
     fn default() -> Self {
         Self::new(usize::MAX)
     }
 }
 
-/// A message that waits.
+/// A queued message.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct QueuedMessage {
-    /// Its bytes.
+    /// The encoded message.
     pub bytes: Bytes,
-    /// The call whose set-up it is; such a message may be taken back.
+    /// The call whose set-up it is; such a message may be withdrawn.
     pub set_up: Option<Sid>,
 }
 
-/// The queue of one connection; its reader and its writers share it.
+/// The queue of one connection, shared by its reader and its writers.
 #[derive(Debug, Default)]
 pub struct WriteQueue {
-    inner: RefCell<Inner>,
+    inner: RefCell<QueueState>,
     changed: Notify,
     budget: Budget,
 }
@@ -89,125 +90,129 @@
 
 impl<'de> Deserialize<'de> for WriteQueue {
     fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let inner = RefCell::new(Inner::deserialize(from)?);
+        let inner = RefCell::new(QueueState::deserialize(from)?);
         Ok(Self { inner, changed: Notify::new(), budget: Budget::default() })
     }
 }
 
 impl Drop for WriteQueue {
     fn drop(&mut self) {
-        self.budget.give_back(self.inner.get_mut().waiting);
+        self.budget.give_back(self.inner.get_mut().queued_bytes);
     }
 }
 
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct Inner {
+struct QueueState {
     items: VecDeque<QueuedMessage>,
-    /// Bytes of the first item that have left.
-    left: usize,
-    waiting: usize,
+    /// Bytes of the first message already written.
+    #[serde(rename = "left")]
+    written: usize,
+    #[serde(rename = "waiting")]
+    queued_bytes: usize,
     finish: bool,
     abort: bool,
-    deaf: bool,
+    #[serde(rename = "deaf")]
+    reading_stopped: bool,
     held: bool,
 }
 
 impl WriteQueue {
-    /// A queue whose messages count against a budget that it shares.
+    /// A queue that counts against a shared budget.
     pub fn with_budget(budget: &Budget) -> Self {
         Self { budget: budget.clone(), inner: RefCell::default(), changed: Notify::default() }
     }
 
-    /// From now on what waits counts against this budget. It was within another's, so that it is never too much.
+    /// Moves the queue to another budget, even beyond its limit: the bytes were within the limit of the
+    /// former one.
     pub fn move_to_budget(&mut self, budget: &Budget) {
-        let waiting = self.inner.get_mut().waiting;
-        self.budget.give_back(waiting);
+        let queued = self.inner.get_mut().queued_bytes;
+        self.budget.give_back(queued);
         self.budget = budget.clone();
-        budget.0.used.set(budget.0.used.get() + waiting);
+        budget.0.used.set(budget.0.used.get() + queued);
     }
 
-    /// Appends a message; `false` if it would wait behind too many others.
+    /// Appends a message; `false` if the queue or the budget has no room for it.
     pub fn push(&self, bytes: Bytes, set_up: Option<Sid>) -> bool {
         let mut inner = self.inner.borrow_mut();
-        let most = if set_up.is_some() { MOST_SET_UPS } else { MOST_WAITING };
-        if inner.waiting + bytes.len() > most || !self.budget.take(bytes.len()) {
+        let max = if set_up.is_some() { MAX_SET_UP_BYTES } else { MAX_QUEUED_BYTES };
+        if inner.queued_bytes + bytes.len() > max || !self.budget.take(bytes.len()) {
             return false;
         }
-        inner.waiting += bytes.len();
+        inner.queued_bytes += bytes.len();
         inner.items.push_back(QueuedMessage { bytes, set_up });
         self.changed.notify_one();
         true
     }
 
-    /// Takes back a set-up of which no byte has left.
+    /// Withdraws a set-up of which no byte has been written.
     pub fn cancel_unsent(&self, sid: Sid) -> bool {
-        let taken = self.take_where(|item| item.set_up == Some(sid));
-        !taken.is_empty()
+        let removed = self.remove_where(|item| item.set_up == Some(sid));
+        !removed.is_empty()
     }
 
-    /// Takes back all set-ups of which no byte has left.
+    /// Withdraws all set-ups of which no byte has been written.
     pub fn cancel_all_unsent(&self) -> Vec<Sid> {
-        self.take_where(|item| item.set_up.is_some()).into_iter().filter_map(|item| item.set_up).collect()
+        self.remove_where(|item| item.set_up.is_some()).into_iter().filter_map(|item| item.set_up).collect()
     }
 
-    /// Takes whatever has not begun to leave, for another connection.
+    /// Removes all messages of which no byte has been written, to send them on another connection.
     pub fn take_unsent(&self) -> Vec<QueuedMessage> {
-        self.take_where(|_| true)
+        self.remove_where(|_| true)
     }
 
-    fn take_where(&self, which: impl Fn(&QueuedMessage) -> bool) -> Vec<QueuedMessage> {
+    fn remove_where(&self, which: impl Fn(&QueuedMessage) -> bool) -> Vec<QueuedMessage> {
         let mut inner = self.inner.borrow_mut();
-        let begun = usize::from(inner.left > 0);
-        let mut taken = Vec::new();
-        let mut at = begun;
+        let partly_written = usize::from(inner.written > 0);
+        let mut removed = Vec::new();
+        let mut at = partly_written;
         while at < inner.items.len() {
             if !which(&inner.items[at]) {
                 at += 1;
             } else if let Some(item) = inner.items.remove(at) {
-                inner.waiting -= item.bytes.len();
+                inner.queued_bytes -= item.bytes.len();
                 self.budget.give_back(item.bytes.len());
-                taken.push(item);
+                removed.push(item);
             }
         }
-        taken
+        removed
     }
 
-    /// The connection ends once all is written.
+    /// Closes the connection once everything queued has been written.
     pub fn finish(&self) {
         self.inner.borrow_mut().finish = true;
         self.changed.notify_one();
     }
 
-    /// The connection ends now.
+    /// Closes the connection at once.
     pub fn abort(&self) {
         self.inner.borrow_mut().abort = true;
         self.changed.notify_one();
     }
 
-    /// Nothing more is read from the connection; what waits is still written.
+    /// Stops reading from the connection; queued messages are still written.
     pub fn stop_reading(&self) {
-        self.inner.borrow_mut().deaf = true;
+        self.inner.borrow_mut().reading_stopped = true;
         self.changed.notify_one();
     }
 
-    /// Whether nothing more is to be read.
+    /// Whether reading has been stopped.
     pub(crate) fn reading_stopped(&self) -> bool {
-        self.inner.borrow().deaf
+        self.inner.borrow().reading_stopped
     }
 
-    /// Keeps back what waits until told otherwise; it can be taken back meanwhile.
+    /// Holds queued messages back, or releases them; while held they can be withdrawn.
     pub fn hold(&self, held: bool) {
         self.inner.borrow_mut().held = held;
         self.changed.notify_one();
     }
 
-    /// Whether something may be written now.
+    /// Whether there is something to write now.
     pub(crate) fn may_write(&self) -> bool {
         let inner = self.inner.borrow();
         !inner.held && !inner.items.is_empty()
     }
 
-    /// Whether nothing waits.
+    /// Whether nothing is queued.
     pub fn is_empty(&self) -> bool {
         self.inner.borrow().items.is_empty()
     }
@@ -217,33 +222,34 @@
         inner.abort || (inner.finish && inner.items.is_empty())
     }
 
-    /// Whether it was ended in order: all is written, and what the other side said was read to the last.
+    /// Whether the connection was closed in order: everything has been written, and reading was never
+    /// stopped.
     pub(crate) fn is_finished(&self) -> bool {
         let inner = self.inner.borrow();
-        inner.finish && !inner.abort && !inner.deaf && inner.items.is_empty()
+        inner.finish && !inner.abort && !inner.reading_stopped && inner.items.is_empty()
     }
 
     pub(crate) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// All that waits has left.
+    /// Discards everything queued, as if it had been written.
     #[cfg(test)]
     pub(crate) fn mark_all_written(&self) {
         let mut inner = self.inner.borrow_mut();
-        self.budget.give_back(std::mem::take(&mut inner.waiting));
+        self.budget.give_back(std::mem::take(&mut inner.queued_bytes));
         inner.items.clear();
     }
 
-    /// Writes until the connection takes no more.
+    /// Writes until the socket accepts no more.
     pub(crate) fn write_to(&self, stream: &TcpStream) -> io::Result<()> {
         let mut inner = self.inner.borrow_mut();
         while let Some(item) = inner.items.front() {
-            match stream.try_write(&item.bytes[inner.left..]) {
+            match stream.try_write(&item.bytes[inner.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
                     let set_up = u64::from(item.set_up.is_some());
-                    let whole = inner.wrote(n);
+                    let whole = inner.advance(n);
                     if whole > 0 {
                         self.budget.0.set_ups.set(self.budget.0.set_ups.get() + set_up);
                     }
@@ -258,17 +264,17 @@
     }
 }
 
-impl Inner {
-    /// Returns the bytes of the message that has left whole.
-    fn wrote(&mut self, n: usize) -> usize {
-        self.left += n;
+impl QueueState {
+    /// Counts `n` bytes as written. Returns the length of the first message if that completes it.
+    fn advance(&mut self, n: usize) -> usize {
+        self.written += n;
         let Some(item) = self.items.front() else { return 0 };
         let length = item.bytes.len();
-        if self.left < length {
+        if self.written < length {
             return 0;
         }
-        self.waiting -= length;
-        self.left = 0;
+        self.queued_bytes -= length;
+        self.written = 0;
         self.items.pop_front();
         length
     }
@@ -278,15 +284,15 @@
 mod tests {
     use super::*;
 
-    /// Guards against callers who ask much and read nothing and together take the memory that is allowed.
+    /// Callers that ask for much and read nothing must not exhaust the allowed memory together.
     #[test]
-    fn what_waits_on_many_connections_is_bounded_together_and_given_back() {
+    fn budget_limits_many_queues_together_and_is_returned_when_they_are_dropped() {
         let budget = Budget::new(1_000);
         let queues: Vec<WriteQueue> = (0..4).map(|_| WriteQueue::with_budget(&budget)).collect();
         let push = |n: usize, sid| queues[n].push(Bytes::from(vec![0; 300]), sid);
         let sid = Some(Sid::from_number(1));
         assert!(push(0, sid) && push(1, None) && push(2, None));
-        assert!(!push(3, None), "each is within its own bound, all together are not");
+        assert!(!push(3, None), "each is within its own limit, all together are not");
         assert!(queues[0].cancel_unsent(Sid::from_number(1)) && push(3, None));
         drop(queues);
         assert!(WriteQueue::with_budget(&budget).push(Bytes::from(vec![0; 1_000]), None));
