--- a/src/front/iax2/outbound_registration.rs
+++ b/src/front/iax2/outbound_registration.rs
@@ -1,8 +1,9 @@
-//! The controller registers elsewhere, from the address at which it takes calls: [`Registrant`] decides when.
+//! Registers the controller at other registrars, from the address at which it takes calls. [`Registrant`]
+//! holds the state machine.
 
 use std::net::SocketAddr;
 
-use super::{mixed, Caller, Callers};
+use super::{mix, CallerLeg, Callers};
 use crate::core::{DeadlineOwner, Sid};
 use crate::iax2::auth::Account;
 use crate::iax2::frame::{ie, Elements, Frame, Iax, Kind};
@@ -10,125 +11,131 @@
 use crate::interface::Time;
 use crate::upstream::AdapterOutput;
 
-/// Keys of the registrants' deadlines: this and their places after it.
-pub(super) const FIRST: u64 = 1 << 33;
+/// Key of the first registrant's deadline; the others follow in order.
+pub(super) const FIRST_KEY: u64 = 1 << 33;
 
-/// Our registrations.
+/// The controller's own registrations.
 #[derive(Debug, Default)]
 pub(super) struct OutboundRegistrations {
     account: Option<Account>,
-    all: Vec<Registrant>,
-    /// Which registrant each leg is for, by its caller's number.
-    asking: Vec<(u64, usize)>,
+    registrants: Vec<Registrant>,
+    /// The legs to registrars: their client number and the index of their registrant.
+    legs: Vec<(u64, usize)>,
 }
 
 impl OutboundRegistrations {
-    /// The registrant that a leg is for, if it is for one.
-    fn of(&self, client: u64) -> Option<usize> {
-        self.asking.iter().find(|(of, _)| *of == client).map(|(_, place)| *place)
+    /// The index of the registrant that a leg belongs to, if any.
+    fn registrant_of(&self, client: u64) -> Option<usize> {
+        self.legs.iter().find(|(of, _)| *of == client).map(|(_, index)| *index)
     }
 }
 
 impl Callers {
-    /// From now on the controller is registered at these. One that stays keeps its time.
+    /// Sets the registrars to register at. A registrant that stays keeps its state.
     pub fn register_at(
         &mut self,
         account: Option<&Account>,
         at: &[SocketAddr],
         now: Time,
-        todo: &mut AdapterOutput,
+        output: &mut AdapterOutput,
     ) {
-        let OutboundRegistrations { all, .. } = std::mem::take(&mut self.registers);
-        let seed = self.usual.seed;
+        let OutboundRegistrations { registrants, .. } = std::mem::take(&mut self.registrations);
+        let seed = self.defaults.seed;
         let one = |(n, at): (usize, &SocketAddr)| {
-            let before = all.iter().find(|registrant| registrant.address == *at).cloned();
-            before.unwrap_or_else(|| Registrant::new(*at, now, mixed(seed.wrapping_add(n as u64))))
+            let before = registrants.iter().find(|registrant| registrant.address == *at).cloned();
+            before.unwrap_or_else(|| Registrant::new(*at, now, mix(seed.wrapping_add(n as u64))))
         };
-        let all = at.iter().enumerate().map(one).collect();
-        self.registers = OutboundRegistrations { account: account.cloned(), all, asking: Vec::new() };
-        (0..at.len()).for_each(|place| self.arm_registrant(place, todo));
+        let registrants = at.iter().enumerate().map(one).collect();
+        self.registrations =
+            OutboundRegistrations { account: account.cloned(), registrants, legs: Vec::new() };
+        (0..at.len()).for_each(|index| self.arm_registrant(index, output));
     }
 
-    /// How many registrars hold us registered.
+    /// Number of registrars at which the controller is registered.
     pub fn registered_at(&self, now: Time) -> usize {
-        self.registers.all.iter().filter(|registrant| registrant.is_registered(now)).count()
+        self.registrations.registrants.iter().filter(|registrant| registrant.is_registered(now)).count()
     }
 
-    fn arm_registrant(&self, place: usize, todo: &mut AdapterOutput) {
-        if let Some(registrant) = self.registers.all.get(place) {
-            todo.deadlines.push((registrant.next_deadline(), DeadlineOwner::Iax2Front, FIRST + place as u64));
+    fn arm_registrant(&self, index: usize, output: &mut AdapterOutput) {
+        if let Some(registrant) = self.registrations.registrants.get(index) {
+            output.deadlines.push((
+                registrant.next_deadline(),
+                DeadlineOwner::Iax2Front,
+                FIRST_KEY + index as u64,
+            ));
         }
     }
 
-    /// Does what is due at one registrar.
-    pub(super) fn registrant_due(&mut self, place: usize, now: Time, todo: &mut AdapterOutput) {
-        let Some(registrant) = self.registers.all.get_mut(place) else { return };
+    /// Runs the deadline of one registrant.
+    pub(super) fn registrant_due(&mut self, index: usize, now: Time, output: &mut AdapterOutput) {
+        let Some(registrant) = self.registrations.registrants.get_mut(index) else { return };
         match registrant.run_timer(now) {
             RegistrantAction::Wait => {}
             RegistrantAction::GiveUp => {
-                tracing::warn!(at = %registrant.address, "a registrar does not answer");
-                self.registers.asking.retain(|(_, of)| *of != place);
+                tracing::warn!(at = %registrant.address, "registrar does not answer");
+                self.registrations.legs.retain(|(_, of)| *of != index);
             }
-            RegistrantAction::SendRequest => self.ask_registrar(place, now, todo),
+            RegistrantAction::SendRequest => self.send_registration(index, now, output),
         }
-        self.arm_registrant(place, todo);
+        self.arm_registrant(index, output);
     }
 
-    fn ask_registrar(&mut self, place: usize, now: Time, todo: &mut AdapterOutput) {
-        let (Some(account), Some(registrant)) = (&self.registers.account, self.registers.all.get(place))
+    fn send_registration(&mut self, index: usize, now: Time, output: &mut AdapterOutput) {
+        let (Some(account), Some(registrant)) =
+            (&self.registrations.account, self.registrations.registrants.get(index))
         else {
             return;
         };
-        self.next += 1;
-        let caller = Caller { client: self.next, sid: Sid::from_number(0) };
+        self.last_client += 1;
+        let caller = CallerLeg { client: self.last_client, sid: Sid::from_number(0) };
         let elements = Elements::default()
             .with(ie::USERNAME, account.username.as_bytes())
             .with(ie::REFRESH, &REQUESTED_REFRESH_SECS.to_be_bytes())
             .with(ie::CALLTOKEN, &[]);
-        // Where no number is free, the time for an answer passes, and it is tried again.
+        // Without a free call number no request leaves; the registrant times out and tries again.
         let Some(no) = self.legs.open_outgoing(registrant.address, caller, now) else { return };
-        self.registers.asking.push((caller.client, place));
-        self.legs.send(no, Kind::Iax(Iax::RegReq), elements, now, &mut todo.to_callers);
-        self.arm(no, todo);
+        self.registrations.legs.push((caller.client, index));
+        self.legs.send(no, Kind::Iax(Iax::RegReq), elements, now, &mut output.to_callers);
+        self.arm(no, output);
     }
 
-    /// A frame on a leg of ours to a registrar. `false`: the leg is none.
-    pub(super) fn registrar_says(
+    /// Handles a frame on a leg to a registrar. Returns `false` if the leg is none.
+    pub(super) fn handle_registrar_frame(
         &mut self,
         no: u16,
-        caller: Caller,
+        caller: CallerLeg,
         frame: &Frame,
         now: Time,
-        todo: &mut AdapterOutput,
+        output: &mut AdapterOutput,
     ) -> bool {
-        let Some(place) = self.registers.of(caller.client) else { return false };
-        let OutboundRegistrations { account, all, asking } = &mut self.registers;
-        let Some(registrant) = all.get_mut(place) else { return true };
+        let Some(index) = self.registrations.registrant_of(caller.client) else { return false };
+        let OutboundRegistrations { account, registrants, legs } = &mut self.registrations;
+        let Some(registrant) = registrants.get_mut(index) else { return true };
         match frame.kind {
             Kind::Iax(Iax::RegAuth) => {
                 let answer = account.as_ref().and_then(|account| account.respond(&frame.elements));
                 let answer =
                     answer.unwrap_or_default().with(ie::REFRESH, &REQUESTED_REFRESH_SECS.to_be_bytes());
-                self.legs.send(no, Kind::Iax(Iax::RegReq), answer, now, &mut todo.to_callers);
+                self.legs.send(no, Kind::Iax(Iax::RegReq), answer, now, &mut output.to_callers);
                 return true;
             }
             Kind::Iax(Iax::RegAck) => {
                 if !registrant.is_registered(now) {
-                    tracing::info!(at = %registrant.address, "registered");
+                    tracing::info!(at = %registrant.address, "registered at registrar");
                 }
                 let secs = frame.elements.number(ie::REFRESH).unwrap_or(u32::from(REQUESTED_REFRESH_SECS));
                 registrant.granted(secs, now);
             }
             Kind::Iax(Iax::RegRej | Iax::Reject | Iax::Hangup | Iax::Unsupport) => {
                 let why = frame.elements.text(ie::CAUSE).unwrap_or("no reason given").to_owned();
-                tracing::warn!(at = %registrant.address, why, "a registrar refuses us");
+                tracing::warn!(at = %registrant.address, why, "registrar refused the registration");
                 registrant.failed(now);
             }
             _ => return true,
         }
-        asking.retain(|(of, _)| *of != caller.client);
+        legs.retain(|(of, _)| *of != caller.client);
         self.legs.end(no, now);
-        self.arm_registrant(place, todo);
+        self.arm_registrant(index, output);
         true
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' wires.
+//! Protocol adapters towards callers.
 
 pub mod iax2;
 pub mod jsonl;
