--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The call servers' wires.
+//! Protocol adapters towards call servers.
 
 pub mod iax2;
 pub mod sip;
@@ -9,17 +9,17 @@
 use crate::iax2::legs::Outgoing;
 use crate::interface::Time;
 
-/// What follows from something a wire was told: for the core, for the sockets, for the deadlines.
+/// What a protocol adapter asks for after an event: inputs for the core, messages for the sockets, deadlines.
 #[derive(Debug, Default)]
 pub struct AdapterOutput {
     /// For the core, in order.
     pub inputs: Vec<Input>,
-    /// Connections to be made: their numbers and where to.
+    /// Connections to open: their numbers and addresses.
     pub connects: Vec<(u64, SocketAddr)>,
     /// Datagrams to IAX2 callers.
     pub to_callers: Vec<Outgoing>,
     /// Datagrams to IAX2 call servers.
     pub to_servers: Vec<Outgoing>,
-    /// Deadlines to be set.
+    /// Deadlines to set: time, owner and the owner's key.
     pub deadlines: Vec<(Time, DeadlineOwner, u64)>,
 }
--- a/src/upstream/sip/message.rs
+++ b/src/upstream/sip/message.rs
@@ -1,4 +1,4 @@
-//! SIP messages as call servers speak them: bytes in, messages out and back.
+//! Parsing and writing of SIP messages, with the headers that call servers use.
 
 use std::fmt::Write as _;
 
@@ -8,15 +8,15 @@
 use crate::interface::{Cause, LoadField, Span};
 use crate::net::pool::MAX_MESSAGE_BYTES;
 
-/// Headers that a message may have at most.
-const MOST_HEADERS: usize = 64;
+/// Largest number of headers in a message.
+const MAX_HEADERS: usize = 64;
 
-/// A message, read.
+/// A parsed message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
-    /// Its first line.
+    /// Its start line.
     pub start: StartLine,
-    /// Of a request: the number that its first line calls.
+    /// Of a request: the number in its request URI.
     pub number: String,
     /// `Call-ID`.
     pub call_id: String,
@@ -24,46 +24,46 @@
     pub kind: String,
     /// Number and method of `CSeq`.
     pub cseq: (u32, String),
-    /// `Via`, for answers.
+    /// `Via`, to be repeated in a response.
     pub via: String,
     /// `P-Reason`.
-    pub note: String,
+    pub p_reason: String,
     /// `P-Line-Ms`.
     pub line_ms: Option<f64>,
     /// `P-Report`.
     pub report: LoadValues,
     /// The cause in `Reason`.
     pub cause: Option<u16>,
-    /// The description.
+    /// The session description.
     pub body: Vec<u8>,
 }
 
-/// A first line.
+/// A start line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartLine {
-    /// A request: its method.
+    /// A request, with its method.
     Request(String),
-    /// An answer: its code.
+    /// A response, with its status code.
     Response(u16),
 }
 
-/// A message that cannot be read.
+/// Why a message cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SipError {
-    /// Its end is not known: the connection is lost.
-    #[error("the end of a message is not known: {0}")]
+    /// Its end cannot be found, so the connection cannot be used any more.
+    #[error("message boundary not found: {0}")]
     Framing(&'static str),
-    /// It costs itself alone: so many bytes.
-    #[error("a message of {length} bytes is malformed: {what}")]
+    /// Only this message is malformed.
+    #[error("malformed message of {length} bytes: {what}")]
     Message {
-        /// Bytes to pass over.
+        /// Length of the message in bytes, to skip it.
         length: usize,
-        /// What is wrong.
+        /// The malformed part.
         what: &'static str,
     },
 }
 
-/// Reads the message at the start of `bytes`: it and its length, or `None` while it is not whole.
+/// Parses the message at the start of `bytes`. Returns it with its length, or `None` while it is incomplete.
 pub fn parse(bytes: &[u8]) -> Result<Option<(Message, usize)>, SipError> {
     let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4) else {
         return if bytes.len() > MAX_MESSAGE_BYTES {
@@ -73,11 +73,11 @@
         };
     };
     let first = bytes.windows(2).position(|two| two == b"\r\n").unwrap_or(0);
-    let mut slots = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let headers = match httparse::parse_headers(&bytes[first + 2..end.max(first + 2)], &mut slots) {
         Ok(httparse::Status::Complete((_, headers))) => headers,
         Ok(httparse::Status::Partial) if first + 4 == end => &[],
-        Ok(httparse::Status::Partial) | Err(_) => return Err(SipError::Framing("headers cannot be read")),
+        Ok(httparse::Status::Partial) | Err(_) => return Err(SipError::Framing("malformed headers")),
     };
     let header = |long: &str, short: &str| {
         let named = headers.iter().find(|h| {
@@ -87,16 +87,16 @@
     };
     let length = header("Content-Length", "l").and_then(|l| l.parse::<usize>().ok());
     let length = length.ok_or(SipError::Framing("no Content-Length"))?;
-    let whole = end.saturating_add(length);
-    if whole > MAX_MESSAGE_BYTES {
-        return Err(SipError::Framing("longer than a message may be"));
+    let total = end.saturating_add(length);
+    if total > MAX_MESSAGE_BYTES {
+        return Err(SipError::Framing("message too long"));
     }
-    if bytes.len() < whole {
+    if bytes.len() < total {
         return Ok(None);
     }
-    let malformed = |what| SipError::Message { length: whole, what };
-    let line = std::str::from_utf8(&bytes[..first]).map_err(|_| malformed("first line"))?;
-    let start = start_of(line).ok_or(malformed("first line"))?;
+    let malformed = |what| SipError::Message { length: total, what };
+    let line = std::str::from_utf8(&bytes[..first]).map_err(|_| malformed("start line"))?;
+    let start = parse_start_line(line).ok_or(malformed("start line"))?;
     let number =
         line.split_once(" sip:").and_then(|(_, rest)| rest.split_once('@')).map(|(number, _)| number);
     let cseq = header("CSeq", "").and_then(|cseq| cseq.split_once(' '));
@@ -109,40 +109,40 @@
         kind: text("P-Kind", ""),
         cseq: cseq.unwrap_or_default(),
         via: text("Via", "v"),
-        note: text("P-Reason", ""),
+        p_reason: text("P-Reason", ""),
         line_ms: header("P-Line-Ms", "").and_then(|ms| ms.parse().ok()),
         report: parse_report(header("P-Report", "").unwrap_or_default()),
-        cause: header("Reason", "").and_then(cause_in),
-        body: bytes[end..whole].to_vec(),
+        cause: header("Reason", "").and_then(parse_cause),
+        body: bytes[end..total].to_vec(),
     };
-    Ok(Some((message, whole)))
+    Ok(Some((message, total)))
 }
 
-fn start_of(line: &str) -> Option<StartLine> {
+fn parse_start_line(line: &str) -> Option<StartLine> {
     if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
         let code = rest.split(' ').next()?.parse().ok()?;
         return (100..700).contains(&code).then_some(StartLine::Response(code));
     }
     let mut words = line.split(' ');
     let (method, _uri, version) = (words.next()?, words.next()?, words.next()?);
-    let right = version == "SIP/2.0" && !method.is_empty() && words.next().is_none();
-    right.then(|| StartLine::Request(method.to_owned()))
+    let valid = version == "SIP/2.0" && !method.is_empty() && words.next().is_none();
+    valid.then(|| StartLine::Request(method.to_owned()))
 }
 
-/// `Q.850;cause=16`
-fn cause_in(reason: &str) -> Option<u16> {
+/// Reads the cause out of `Q.850;cause=16`.
+fn parse_cause(reason: &str) -> Option<u16> {
     reason.split(';').find_map(|part| part.trim().strip_prefix("cause=")?.trim().parse().ok())
 }
 
-/// `x0:12;x1:40;queue:3`; what cannot be read is left out.
+/// Parses load values such as `x0:12;x1:40;queue:3`, leaving out what is malformed or unknown.
 pub fn parse_report(text: &str) -> LoadValues {
     let pairs = text.split(';').filter_map(|pair| pair.split_once(':'));
-    let figures =
+    let values =
         pairs.filter_map(|(name, value)| Some((LoadField::named(name.trim()), value.trim().parse().ok()?)));
-    figures.filter(|(field, _)| *field != LoadField::Unknown).collect()
+    values.filter(|(field, _)| *field != LoadField::Unknown).collect()
 }
 
-/// What a final answer but 2xx to an INVITE means.
+/// What a final response other than 2xx to an INVITE means.
 pub fn refusal_from_response(message: &Message, code: u16) -> (Refusal, Cause) {
     let refusal = match code {
         503 => Refusal::Full,
@@ -150,7 +150,7 @@
         504 => Refusal::Reset,
         _ => Refusal::Error,
     };
-    let cause = match (message.note.as_str(), message.line_ms) {
+    let cause = match (message.p_reason.as_str(), message.line_ms) {
         ("no_path", _) => Cause::NoCircuit,
         ("queue_long", Some(ms)) if ms > 0.0 => Cause::ProcessorFullFor(Span::from_secs(ms / 1000.0)),
         ("queue_long", _) => Cause::ProcessorFull,
@@ -161,7 +161,7 @@
     (refusal, cause)
 }
 
-/// A request of ours on a call.
+/// Writes a request that belongs to a call.
 pub fn request(method: &str, number: &str, sid: Sid, cseq: (u32, &str), extra: &str, body: &str) -> Bytes {
     let mut text = String::with_capacity(256 + body.len());
     let _ = write!(
@@ -172,7 +172,7 @@
     text.into()
 }
 
-/// Our answer to a request.
+/// Writes the response to a request.
 pub fn response(code: u16, phrase: &str, to: &Message) -> Bytes {
     let Message { via, call_id, cseq: (no, method), .. } = to;
     format!(
--- a/src/upstream/sip/mod.rs
+++ b/src/upstream/sip/mod.rs
@@ -1,4 +1,6 @@
-//! SIP call servers: few long-lived connections each. No socket here: connections are numbers with a queue.
+//! Protocol adapter for SIP call servers, with a few long-lived connections to each.
+//!
+//! Holds no sockets: a connection is a number with a write queue.
 
 pub mod message;
 #[cfg(test)]
@@ -18,198 +20,214 @@
 use crate::upstream::AdapterOutput;
 use message::{parse_report, refusal_from_response, request, response, Message, StartLine};
 
-/// Connections to one call server at most. Set-ups are spread over them: whatever spoils or ends one costs the others
-/// nothing.
-const MOST_LINKS: usize = 4;
-/// A new connection carries no set-up before its call server has said something on it, or this time has passed. Guards
-/// against set-ups lost on connections that are reset when they are new.
-const FIRST_WORD: Span = Span::from_millis(150);
-/// A set-up that has not left when its connection ends goes to another so often.
-const MOST_MOVES: u8 = 3;
-/// A connection that has said nothing for so long after a set-up gets no new one while another may be had. Guards
-/// against calls lost into the open and silent connections of a machine that has vanished.
-const SUSPECT: Span = Span::from_millis(700);
-/// First and longest wait before a connection is tried again.
-const AGAIN: (Span, Span) = (Span::from_millis(100), Span::from_millis(1_000));
-/// After so long without a word, a call server with calls is offered another connection, on which it must speak.
-const ASK_AFTER: Span = Span::from_millis(3_000);
-/// So often is a call server with calls looked at.
-const LOOK_EVERY: Span = Span::from_millis(1_000);
-/// After so long without a word its calls are released. Guards against calls that end unheard at a machine that has
-/// vanished: their callers are owed a release within 8 s, and any call may have ended with the first moment, or a little
-/// ahead of it on a connection that fell silent first.
-const CUT_AFTER: Span = Span::from_millis(6_500);
-/// Set-ups given up on a connection, and ends of calls said on it, that are remembered; later ones push out the first. More
-/// than leave on one within the time that a call is tried for.
-const MOST_GIVEN_UP: usize = 256;
-/// The end of a call that was said so lately on a connection which ends, and not confirmed, is said again on another. What
-/// is older was heard by a call server that confirms nothing, or its connection would have broken under it before.
-const SAID_AGAIN: Span = Span::from_millis(3_000);
-/// Messages that may wait for the next connection.
-const MOST_WAITING: usize = 4_096;
-/// Stands in for a number that is not known, in the first line of a request that only its `Call-ID` matters for.
+/// Largest number of connections to one call server. Set-ups are spread over them, so that malformed input or
+/// a close on one does not affect the others.
+const MAX_LINKS: usize = 4;
+/// A new connection carries set-ups once its call server has sent something on it, or after this time:
+/// set-ups would be lost on connections that are reset right after they open.
+const FIRST_MESSAGE_TIMEOUT: Span = Span::from_millis(150);
+/// How often a set-up that has not been written when its connection ends is moved to another.
+const MAX_MOVES: u8 = 3;
+/// A connection without any input for this long after a set-up gets no further set-ups while another can be
+/// had. Otherwise calls would be lost in the open but silent connections of a machine that has vanished.
+const SUSPECT_AFTER: Span = Span::from_millis(700);
+/// Shortest and longest delay before reconnecting.
+const RECONNECT_DELAY: (Span, Span) = (Span::from_millis(100), Span::from_millis(1_000));
+/// After this much silence, a call server with established calls is offered another connection, on which it
+/// must send something.
+const PROBE_AFTER: Span = Span::from_millis(3_000);
+/// Interval between silence checks of a call server with established calls.
+const SILENCE_CHECK_INTERVAL: Span = Span::from_millis(1_000);
+/// After this much silence the calls of a call server are released. Their callers are owed a release within 8
+/// s when its machine vanishes, and a call may have ended at the start of the silence, or shortly before it
+/// on a connection that fell silent first.
+const SILENCE_TIMEOUT: Span = Span::from_millis(6_500);
+/// How many cancelled set-ups, and how many releases sent, are remembered on a connection; the oldest are
+/// dropped. More than one connection carries within the time that a call is tried for.
+const MAX_REMEMBERED: usize = 256;
+/// A release sent within this time before its connection ended, and not confirmed, is sent again on another.
+/// An older one has reached a call server that confirms nothing, or its connection would have failed earlier.
+const RESEND_WITHIN: Span = Span::from_millis(3_000);
+/// Largest number of messages kept for the next connection.
+const MAX_WAITING_MESSAGES: usize = 4_096;
+/// Placeholder for an unknown number in a request URI; call servers use only the `Call-ID` of such a request.
 const NO_NUMBER: &str = "0000000000000000";
 
-/// How a connection came to nothing.
+/// How a connection ended, or why it could not be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// It was refused: no process is there.
+    /// The connection was refused: no process listens.
     Refused,
-    /// It was not made in time, or could not be made.
+    /// It could not be opened, or not in time.
     ConnectFailed,
-    /// It stood and ended.
+    /// It was open and has closed.
     Closed(CloseReason),
 }
 
-/// A set-up on a connection.
+/// A set-up that was put on a connection.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct SetUpOut {
+struct OutstandingSetUp {
     /// The number called.
     number: Rc<str>,
-    /// How often it went to another connection before it left.
+    /// How often it was moved to another connection before it was written.
     moves: u8,
-    /// When it was put to write.
-    since: Time,
+    /// When it was queued.
+    #[serde(rename = "since")]
+    queued_at: Time,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 struct Link {
     queue: Rc<WriteQueue>,
-    /// Since when it stands.
-    up: Option<Time>,
-    /// Set-ups open on it.
-    out: BTreeMap<Sid, SetUpOut>,
-    /// Set-ups that had left when they were given up, the latest last: a last word on them may still come.
-    given_up: VecDeque<Sid>,
-    /// Ends of calls said on it that nobody has confirmed, the latest last.
-    unheard: VecDeque<(Sid, Bytes, Time)>,
-    /// When the first set-up went out since anything was heard.
-    asked: Option<Time>,
-    /// The last word on it.
-    heard: Time,
-    /// Whether it carries set-ups: something was heard on it, or it has stood for long enough.
-    speaks: bool,
+    /// When it was opened; `None` while it is opening.
+    #[serde(rename = "up")]
+    connected_at: Option<Time>,
+    /// Set-ups on it without a final response.
+    #[serde(rename = "out")]
+    set_ups: BTreeMap<Sid, OutstandingSetUp>,
+    /// Set-ups cancelled after they had been written, the latest last; a final response may still arrive.
+    #[serde(rename = "given_up")]
+    cancelled: VecDeque<Sid>,
+    /// Releases sent on it and not confirmed, the latest last.
+    #[serde(rename = "unheard")]
+    unconfirmed: VecDeque<(Sid, Bytes, Time)>,
+    /// When the first set-up was sent since the last input.
+    #[serde(rename = "asked")]
+    unanswered_since: Option<Time>,
+    /// When the call server last showed life on it.
+    #[serde(rename = "heard")]
+    last_seen: Time,
+    /// Whether it carries set-ups: something has arrived on it, or it has been open for long enough.
+    #[serde(rename = "speaks")]
+    carries_set_ups: bool,
 }
 
 impl Link {
-    fn gives_up(&mut self, sid: Sid) {
-        if self.given_up.len() >= MOST_GIVEN_UP {
-            self.given_up.pop_front();
+    fn mark_cancelled(&mut self, sid: Sid) {
+        if self.cancelled.len() >= MAX_REMEMBERED {
+            self.cancelled.pop_front();
         }
-        self.given_up.push_back(sid);
+        self.cancelled.push_back(sid);
     }
-    /// Says the end of a call.
-    fn says_end(&mut self, sid: Sid, bytes: Bytes, now: Time) {
+    /// Sends the release of a call.
+    fn send_release(&mut self, sid: Sid, bytes: Bytes, now: Time) {
         self.queue.push(bytes.clone(), None);
-        if self.unheard.len() >= MOST_GIVEN_UP {
-            self.unheard.pop_front();
+        if self.unconfirmed.len() >= MAX_REMEMBERED {
+            self.unconfirmed.pop_front();
         }
-        self.unheard.push_back((sid, bytes, now));
+        self.unconfirmed.push_back((sid, bytes, now));
     }
-    /// Whether a last word on a set-up is about one that was given up here.
-    fn was_given_up(&mut self, sid: Sid) -> bool {
-        let at = self.given_up.iter().position(|given_up| *given_up == sid);
-        at.and_then(|at| self.given_up.remove(at)).is_some()
+    /// Whether a final response belongs to a set-up that was cancelled here.
+    fn take_cancelled(&mut self, sid: Sid) -> bool {
+        let at = self.cancelled.iter().position(|cancelled| *cancelled == sid);
+        at.and_then(|at| self.cancelled.remove(at)).is_some()
     }
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 struct Trunk {
-    dial: SocketAddr,
+    #[serde(rename = "dial")]
+    address: SocketAddr,
     links: BTreeMap<u64, Link>,
-    /// Requests and answers for the next connection.
-    waiting: VecDeque<Bytes>,
-    /// Numbers called, of the calls that stand here.
-    standing: BTreeMap<Sid, Rc<str>>,
+    /// Messages for the next connection.
+    #[serde(rename = "waiting")]
+    waiting_messages: VecDeque<Bytes>,
+    /// Numbers called, of the established calls at the call server.
+    #[serde(rename = "standing")]
+    established: BTreeMap<Sid, Rc<str>>,
     wanted: bool,
-    again: Span,
-    /// The last word from there.
-    heard: Time,
-    /// Whether its silence is watched.
-    watched: bool,
+    #[serde(rename = "again")]
+    reconnect_delay: Span,
+    /// When the call server last showed life on any connection.
+    #[serde(rename = "heard")]
+    last_seen: Time,
+    /// Whether a silence check is scheduled.
+    #[serde(rename = "watched")]
+    silence_watched: bool,
 }
 
 impl Trunk {
-    /// The connection on which the end of a call is said: one that stands, best one that has spoken since it was asked.
-    fn link_for_ends(&mut self) -> Option<&mut Link> {
-        let up = self.links.values_mut().filter(|l| l.up.is_some());
-        up.max_by_key(|l| l.asked.is_none())
+    /// The connection for releases: an open one, preferably one with input since its last set-up.
+    fn link_for_releases(&mut self) -> Option<&mut Link> {
+        let open = self.links.values_mut().filter(|l| l.connected_at.is_some());
+        open.max_by_key(|l| l.unanswered_since.is_none())
     }
 }
 
-/// Plain counts of what these wires did.
+/// Counters of this adapter.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SipCounts {
-    /// INVITEs put to write.
+    /// INVITEs queued.
     pub invites: u64,
-    /// INVITEs taken back before a byte had left.
+    /// INVITEs withdrawn before a byte was written.
     pub withdrawn: u64,
-    /// Messages read.
+    /// Messages received.
     pub received: u64,
-    /// Messages that could not be read.
+    /// Messages that could not be used.
     pub malformed: u64,
-    /// Connections made.
+    /// Connections opened.
     pub connected: u64,
-    /// Connections that could not be made.
+    /// Connections that could not be opened.
     pub connect_failures: u64,
-    /// Set-ups that went to another connection because theirs ended before they left.
+    /// Set-ups moved to another connection because theirs ended before they were written.
     pub moved: u64,
-    /// Connections ended because of what came on them.
+    /// Connections closed because of malformed or incomplete input.
     pub closed_malformed: u64,
-    /// Connections ended because nothing came on them while others spoke.
+    /// Connections closed because they were silent while others to the same call server were not.
     pub stale: u64,
 }
 
-/// What a process goes on with.
+/// What the new process of a takeover continues with.
 pub struct ResumedTrunks {
-    /// All of it.
+    /// The restored state.
     pub trunks: Trunks,
-    /// Connections to be made.
+    /// Connections to open.
     pub to_make: Vec<(u64, SocketAddr)>,
-    /// Connections that have ended on the way.
+    /// Connections whose sockets were lost in the takeover.
     pub lost: Vec<u64>,
 }
 
-/// All SIP call servers.
+/// All SIP call servers and the connections to them.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Trunks {
     trunks: BTreeMap<ServerId, Trunk>,
-    of_link: BTreeMap<u64, ServerId>,
+    #[serde(rename = "of_link")]
+    server_of_link: BTreeMap<u64, ServerId>,
     next_link: u64,
     #[serde(skip)]
     budget: Budget,
-    /// Connections to all call servers together, beyond one each.
+    /// Largest number of connections in all, beyond one for each call server.
     #[serde(skip)]
-    most_links: usize,
-    /// What was done so far.
+    max_links: usize,
+    /// Counters since the start.
     #[serde(skip)]
     pub counts: SipCounts,
 }
 
 impl Trunks {
-    /// No call server yet; what waits to be written to them counts against a budget, and so many connections may be
-    /// made beyond one for each.
-    pub fn with_budget(budget: &Budget, most_links: usize) -> Self {
-        Self { budget: budget.clone(), most_links, ..Self::default() }
+    /// No call servers yet. What is queued for them counts against `budget`; `max_links` connections may be
+    /// open beyond one for each call server.
+    pub fn with_budget(budget: &Budget, max_links: usize) -> Self {
+        Self { budget: budget.clone(), max_links, ..Self::default() }
     }
 
-    /// Goes on with what another process held. Returns the connections that it had not made yet: their numbers and
-    /// where to. `stands`: whether the socket of one has come along; one without it has ended.
+    /// Continues with the state handed over by the old process of a takeover. `stands`: whether the socket of
+    /// a connection was handed over; one without it has ended.
     pub fn resume(
         mut self,
         budget: &Budget,
-        most_links: usize,
+        max_links: usize,
         stands: impl Fn(u64) -> bool,
     ) -> ResumedTrunks {
-        (self.budget, self.most_links) = (budget.clone(), most_links);
+        (self.budget, self.max_links) = (budget.clone(), max_links);
         let (mut to_make, mut lost) = (Vec::new(), Vec::new());
         for trunk in self.trunks.values_mut() {
             for (no, link) in &mut trunk.links {
                 if let Some(queue) = Rc::get_mut(&mut link.queue) {
                     queue.move_to_budget(budget);
                 }
-                match link.up {
-                    None => to_make.push((*no, trunk.dial)),
+                match link.connected_at {
+                    None => to_make.push((*no, trunk.address)),
                     Some(_) if !stands(*no) => lost.push(*no),
                     Some(_) => {}
                 }
@@ -218,155 +236,171 @@
         ResumedTrunks { trunks: self, to_make, lost }
     }
 
-    /// From now on so many connections may be made beyond one for each call server.
-    pub fn set_max_links(&mut self, most_links: usize) {
-        self.most_links = most_links;
+    /// Changes the number of connections allowed beyond one for each call server.
+    pub fn set_max_links(&mut self, max_links: usize) {
+        self.max_links = max_links;
     }
 
-    /// Keeps up a way to a call server. One that started anew has none of the connections made before that. Those
-    /// made since are its own: the list tells of a start seconds late, and what is under way on them must not be
-    /// lost. Guards against releases that crossed our closing of the connection they came on.
+    /// Keeps a connection open to a call server. One that restarted has lost the connections opened before
+    /// that. Those opened since belong to the new process: the list reports a restart seconds late, and
+    /// releases in transit on them would be lost if they were closed.
     pub fn connect(
         &mut self,
         server: ServerId,
-        dial: SocketAddr,
-        fresh: Option<Time>,
-        todo: &mut AdapterOutput,
+        address: SocketAddr,
+        restarted_at: Option<Time>,
+        output: &mut AdapterOutput,
     ) {
-        if let Some(born) = fresh {
-            self.drop_links(server, dial, born, todo);
+        if let Some(restarted_at) = restarted_at {
+            self.close_old_links(server, address, restarted_at, output);
         }
         let trunk = self.trunks.entry(server).or_insert_with(|| Trunk {
-            dial,
+            address,
             links: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            standing: BTreeMap::new(),
+            waiting_messages: VecDeque::new(),
+            established: BTreeMap::new(),
             wanted: true,
-            again: AGAIN.0,
-            heard: Time::default(),
-            watched: false,
+            reconnect_delay: RECONNECT_DELAY.0,
+            last_seen: Time::default(),
+            silence_watched: false,
         });
-        (trunk.dial, trunk.wanted) = (dial, true);
-        if fresh.is_some() {
-            trunk.again = AGAIN.0;
+        (trunk.address, trunk.wanted) = (address, true);
+        if restarted_at.is_some() {
+            trunk.reconnect_delay = RECONNECT_DELAY.0;
         }
         if trunk.links.is_empty() {
-            self.open_link(server, todo);
+            self.open_link(server, output);
         }
     }
 
-    /// Makes no more ways to a call server. Those that are there end by themselves: releases may still come on them.
+    /// Opens no more connections to a call server. The present ones stay until they end, as releases may
+    /// still arrive on them.
     pub fn stop_connecting(&mut self, server: ServerId) {
         if let Some(trunk) = self.trunks.get_mut(&server) {
             trunk.wanted = false;
-            trunk.waiting.clear();
+            trunk.waiting_messages.clear();
         }
     }
 
-    /// A call stands there, as the records of a life before tell: its call server's silence is watched from now on.
+    /// Restores an established call from the records of a previous run, and begins to watch the call server's
+    /// silence.
     pub fn restore_call(
         &mut self,
         server: ServerId,
         sid: Sid,
         number: Rc<str>,
         now: Time,
-        todo: &mut AdapterOutput,
+        output: &mut AdapterOutput,
     ) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
-        trunk.standing.insert(sid, number);
-        if !std::mem::replace(&mut trunk.watched, true) {
-            trunk.heard = trunk.heard.max(now);
-            todo.deadlines.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, u64::from(server.address)));
+        trunk.established.insert(sid, number);
+        if !std::mem::replace(&mut trunk.silence_watched, true) {
+            trunk.last_seen = trunk.last_seen.max(now);
+            output.deadlines.push((
+                now.plus(PROBE_AFTER),
+                DeadlineOwner::SipSilence,
+                u64::from(server.address),
+            ));
         }
     }
 
-    /// Looks whether a call server with calls has been silent for too long.
-    pub fn check_silence(&mut self, key: u64, now: Time, todo: &mut AdapterOutput) {
+    /// Checks whether a call server with established calls has been silent for too long.
+    pub fn check_silence(&mut self, key: u64, now: Time, output: &mut AdapterOutput) {
         let server = ServerId { address: u32::try_from(key).unwrap_or(0), port: 0 };
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
-        trunk.watched = !trunk.standing.is_empty();
-        if !trunk.watched {
+        trunk.silence_watched = !trunk.established.is_empty();
+        if !trunk.silence_watched {
             return;
         }
-        let silent = now.since(trunk.heard);
-        if silent >= CUT_AFTER {
-            trunk.watched = false;
-            self.died(server, todo);
+        let silent = now.since(trunk.last_seen);
+        if silent >= SILENCE_TIMEOUT {
+            trunk.silence_watched = false;
+            self.give_up_calls(server, output);
             return;
         }
-        todo.deadlines.push((
-            trunk.heard.plus(CUT_AFTER).min(now.plus(LOOK_EVERY)),
+        output.deadlines.push((
+            trunk.last_seen.plus(SILENCE_TIMEOUT).min(now.plus(SILENCE_CHECK_INTERVAL)),
             DeadlineOwner::SipSilence,
             key,
         ));
-        // Guards against releases that are lost on a connection that has gone silent while the others speak: they are
-        // said again on the next one that opens.
-        let stale = |l: &Link| l.up.is_some() && trunk.heard.since(l.heard) >= ASK_AFTER;
+        // Releases may be lost on a connection that is silent while others are not; closing it sends them
+        // again on the next one that opens.
+        let stale = |l: &Link| l.connected_at.is_some() && trunk.last_seen.since(l.last_seen) >= PROBE_AFTER;
         let stale = trunk.links.iter().find(|(_, l)| stale(l)).map(|(no, l)| (*no, l.queue.clone()));
         if let Some((no, queue)) = stale {
             self.counts.stale += 1;
             queue.abort();
-            self.end_link(server, no, LinkEnd::Closed(CloseReason::ClosedHere), now, todo);
-            self.open_link(server, todo);
+            self.end_link(server, no, LinkEnd::Closed(CloseReason::ClosedHere), now, output);
+            self.open_link(server, output);
             return;
         }
-        let speaks = trunk.links.values().any(|l| l.up.is_none());
-        if silent >= ASK_AFTER && trunk.wanted && !speaks && trunk.links.len() < MOST_LINKS {
-            self.open_link(server, todo);
+        let opening = trunk.links.values().any(|l| l.connected_at.is_none());
+        if silent >= PROBE_AFTER && trunk.wanted && !opening && trunk.links.len() < MAX_LINKS {
+            self.open_link(server, output);
         }
     }
 
-    /// The calls there are over as far as anybody here can know; should it live, it is told so.
-    fn died(&mut self, server: ServerId, todo: &mut AdapterOutput) {
+    /// Gives up the calls of a silent call server. Their releases are kept for the next connection, in case
+    /// it is alive.
+    fn give_up_calls(&mut self, server: ServerId, output: &mut AdapterOutput) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
-        for (sid, number) in std::mem::take(&mut trunk.standing) {
-            if trunk.wanted && trunk.waiting.len() < MOST_WAITING {
+        for (sid, number) in std::mem::take(&mut trunk.established) {
+            if trunk.wanted && trunk.waiting_messages.len() < MAX_WAITING_MESSAGES {
                 let reason = "Reason: Q.850;cause=41\r\n";
-                trunk.waiting.push_back(request("BYE", &number, sid, (2, "BYE"), reason, ""));
+                trunk.waiting_messages.push_back(request("BYE", &number, sid, (2, "BYE"), reason, ""));
             }
         }
-        todo.inputs.push(Input::ServerDied(server));
+        output.inputs.push(Input::ServerDied(server));
     }
 
-    /// Another call server has its address: its process is gone, and its calls with it.
-    pub fn replaced(&mut self, server: ServerId, todo: &mut AdapterOutput) {
+    /// Another call server has taken over the address: the process is gone, and its calls with it.
+    pub fn replaced(&mut self, server: ServerId, output: &mut AdapterOutput) {
         self.stop_connecting(server);
         let links = self.trunks.get(&server).map(|t| t.links.keys().copied().collect::<Vec<_>>());
         for link in links.into_iter().flatten() {
             if let Some(queue) = self.queue_of(link) {
                 queue.abort();
             }
-            self.end_link(server, link, LinkEnd::Closed(CloseReason::ClosedHere), Time::default(), todo);
+            self.end_link(server, link, LinkEnd::Closed(CloseReason::ClosedHere), Time::default(), output);
         }
         if let Some(trunk) = self.trunks.get_mut(&server) {
-            trunk.standing.clear();
-            todo.inputs.push(Input::ServerDied(server));
+            trunk.established.clear();
+            output.inputs.push(Input::ServerDied(server));
         }
     }
 
-    /// A call server that has left for good: nothing is kept of it.
+    /// Removes a call server that is gone for good.
     pub fn forget(&mut self, server: ServerId) {
         let Some(trunk) = self.trunks.remove(&server) else { return };
         for (no, link) in trunk.links {
-            self.of_link.remove(&no);
+            self.server_of_link.remove(&no);
             link.queue.abort();
         }
     }
 
-    fn drop_links(&mut self, server: ServerId, dial: SocketAddr, born: Time, todo: &mut AdapterOutput) {
+    fn close_old_links(
+        &mut self,
+        server: ServerId,
+        address: SocketAddr,
+        restarted_at: Time,
+        output: &mut AdapterOutput,
+    ) {
         let Some(trunk) = self.trunks.get(&server) else { return };
-        let moved = trunk.dial != dial;
-        let old = trunk.links.iter().filter(|(_, l)| moved || l.up.is_some_and(|since| since < born));
+        let address_changed = trunk.address != address;
+        let old = trunk
+            .links
+            .iter()
+            .filter(|(_, l)| address_changed || l.connected_at.is_some_and(|since| since < restarted_at));
         let old: Vec<u64> = old.map(|(no, _)| *no).collect();
         for link in old {
             if let Some(l) = self.trunks.get(&server).and_then(|t| t.links.get(&link)) {
                 l.queue.abort();
             }
-            self.end_link(server, link, LinkEnd::Closed(CloseReason::ClosedHere), Time::default(), todo);
+            self.end_link(server, link, LinkEnd::Closed(CloseReason::ClosedHere), Time::default(), output);
         }
     }
 
-    fn open_link(&mut self, server: ServerId, todo: &mut AdapterOutput) -> Option<u64> {
+    fn open_link(&mut self, server: ServerId, output: &mut AdapterOutput) -> Option<u64> {
         let trunk = self.trunks.get_mut(&server)?;
         let no = self.next_link;
         self.next_link += 1;
@@ -376,28 +410,29 @@
             no,
             Link {
                 queue,
-                up: None,
-                out: BTreeMap::new(),
-                given_up: VecDeque::new(),
-                unheard: VecDeque::new(),
-                asked: None,
-                heard: Time::default(),
-                speaks: false,
+                connected_at: None,
+                set_ups: BTreeMap::new(),
+                cancelled: VecDeque::new(),
+                unconfirmed: VecDeque::new(),
+                unanswered_since: None,
+                last_seen: Time::default(),
+                carries_set_ups: false,
             },
         );
-        self.of_link.insert(no, server);
-        todo.connects.push((no, trunk.dial));
+        self.server_of_link.insert(no, server);
+        output.connects.push((no, trunk.address));
         Some(no)
     }
 
-    /// The queue of a connection, for whoever serves its socket; `None` once it is not wanted any more.
+    /// The write queue of a connection, for the task that serves its socket; `None` once the connection is
+    /// dropped.
     pub fn queue_of(&self, link: u64) -> Option<Rc<WriteQueue>> {
-        let server = self.of_link.get(&link)?;
+        let server = self.server_of_link.get(&link)?;
         Some(self.trunks.get(server)?.links.get(&link)?.queue.clone())
     }
 
-    /// Sends a set-up on the best connection there is.
-    #[allow(clippy::too_many_arguments)] // one set-up, as the wire wants it
+    /// Sends a set-up on the best connection.
+    #[allow(clippy::too_many_arguments)] // the parts of one set-up
     pub fn invite(
         &mut self,
         server: ServerId,
@@ -407,166 +442,170 @@
         left: Span,
         body: &str,
         now: Time,
-        todo: &mut AdapterOutput,
+        output: &mut AdapterOutput,
     ) {
         let lost = |progress, why| {
             Input::Server(server, sid, ServerEvent::Lost(AttemptError { error: why, progress }))
         };
-        let Some(no) = self.pick(server, sid, now, todo) else {
-            return todo.inputs.push(lost(Progress::NotConnected, TransportError::ConnectFailed));
+        let Some(no) = self.pick(server, sid, now, output) else {
+            return output.inputs.push(lost(Progress::NotConnected, TransportError::ConnectFailed));
         };
         let extra = format!("P-Kind: {class}\r\nP-Time-Left: {}\r\n", left.0 / 1000);
         let bytes = request("INVITE", number, sid, (1, "INVITE"), &extra, body);
         let link = self.trunks.get_mut(&server).and_then(|t| t.links.get_mut(&no));
         let Some(link) = link else { return };
         if !link.queue.push(bytes, Some(sid)) {
-            return todo.inputs.push(lost(Progress::Queued, TransportError::Cancelled));
+            return output.inputs.push(lost(Progress::Queued, TransportError::Cancelled));
         }
         self.counts.invites += 1;
-        link.out.insert(sid, SetUpOut { number: number.clone(), moves: 0, since: now });
-        link.asked.get_or_insert(now);
+        link.set_ups.insert(sid, OutstandingSetUp { number: number.clone(), moves: 0, queued_at: now });
+        link.unanswered_since.get_or_insert(now);
     }
 
-    /// The connection that the next set-up goes on: one that stands and speaks, with the fewest set-ups open. Where each
-    /// has some, another is made for those to come. A call that was given up on one goes on another if it can: the last word
-    /// on its first set-up must not be taken for that on the next.
-    fn pick(&mut self, server: ServerId, sid: Sid, now: Time, todo: &mut AdapterOutput) -> Option<u64> {
-        let spare = self.of_link.len() < self.trunks.len() + self.most_links;
+    /// Picks the connection for the next set-up: an open one that carries set-ups, with the fewest of them.
+    /// Where each has some, another is opened for later ones. A call that was cancelled on one connection
+    /// goes to another if possible: the final response to its first set-up must not be taken for one to the
+    /// next.
+    fn pick(&mut self, server: ServerId, sid: Sid, now: Time, output: &mut AdapterOutput) -> Option<u64> {
+        let spare = self.server_of_link.len() < self.trunks.len() + self.max_links;
         let trunk = self.trunks.get(&server).filter(|t| t.wanted)?;
-        // A second one is always to be had: the first may have gone silent.
-        let few = trunk.links.len() < 2 || (trunk.links.len() < MOST_LINKS && spare);
-        let suspect = |l: &Link| l.asked.is_some_and(|at| now.since(at) > SUSPECT);
+        // A second connection is always allowed, as the first may have gone silent.
+        let may_open = trunk.links.len() < 2 || (trunk.links.len() < MAX_LINKS && spare);
+        let suspect = |l: &Link| l.unanswered_since.is_some_and(|at| now.since(at) > SUSPECT_AFTER);
         let least = |which: &dyn Fn(&Link) -> bool| {
             let fit = trunk.links.iter().filter(|(_, l)| which(l));
-            fit.min_by_key(|(_, l)| l.out.len()).map(|(no, l)| (*no, l.out.len()))
+            fit.min_by_key(|(_, l)| l.set_ups.len()).map(|(no, l)| (*no, l.set_ups.len()))
         };
-        let anew = |l: &Link| !l.given_up.contains(&sid);
-        let healthy = least(&|l| l.speaks && !suspect(l) && anew(l));
-        let healthy = healthy.or_else(|| least(&|l| l.speaks && !suspect(l)));
-        let coming = least(&|l| !l.speaks && !suspect(l)).map(|(no, _)| no);
+        let not_cancelled = |l: &Link| !l.cancelled.contains(&sid);
+        let healthy = least(&|l| l.carries_set_ups && !suspect(l) && not_cancelled(l));
+        let healthy = healthy.or_else(|| least(&|l| l.carries_set_ups && !suspect(l)));
+        let opening = least(&|l| !l.carries_set_ups && !suspect(l)).map(|(no, _)| no);
         match healthy {
-            Some((no, open)) => {
-                if open > 0 && coming.is_none() && few {
-                    self.open_link(server, todo);
+            Some((no, outstanding)) => {
+                if outstanding > 0 && opening.is_none() && may_open {
+                    self.open_link(server, output);
                 }
                 Some(no)
             }
-            None if coming.is_some() => coming,
-            None if few => self.open_link(server, todo),
+            None if opening.is_some() => opening,
+            None if may_open => self.open_link(server, output),
             None => least(&|_| true).map(|(no, _)| no),
         }
     }
 
-    /// Gives a set-up up; one of which no byte has left is simply taken back.
+    /// Cancels a set-up; one of which no byte has been written is withdrawn.
     pub fn cancel(&mut self, server: ServerId, sid: Sid) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         for link in trunk.links.values_mut() {
-            let Some(SetUpOut { number, .. }) = link.out.remove(&sid) else { continue };
+            let Some(OutstandingSetUp { number, .. }) = link.set_ups.remove(&sid) else { continue };
             if link.queue.cancel_unsent(sid) {
                 self.counts.withdrawn += 1;
             } else {
                 link.queue.push(request("CANCEL", &number, sid, (1, "CANCEL"), "", ""), None);
-                link.gives_up(sid);
+                link.mark_cancelled(sid);
             }
         }
     }
 
-    /// Ends a call that stands there, on any connection, or on the next.
-    pub fn bye(&mut self, server: ServerId, sid: Sid, cause: u16, now: Time, todo: &mut AdapterOutput) {
+    /// Releases an established call on any open connection, or on the next one.
+    pub fn bye(&mut self, server: ServerId, sid: Sid, cause: u16, now: Time, output: &mut AdapterOutput) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
-        let number = trunk.standing.remove(&sid);
+        let number = trunk.established.remove(&sid);
         let extra = format!("Reason: Q.850;cause={cause}\r\n");
         let number = number.as_deref().unwrap_or(NO_NUMBER);
         let bytes = request("BYE", number, sid, (2, "BYE"), &extra, "");
-        if let Some(link) = trunk.link_for_ends() {
-            return link.says_end(sid, bytes, now);
+        if let Some(link) = trunk.link_for_releases() {
+            return link.send_release(sid, bytes, now);
         }
-        if trunk.wanted && trunk.waiting.len() < MOST_WAITING {
-            trunk.waiting.push_back(bytes);
+        if trunk.wanted && trunk.waiting_messages.len() < MAX_WAITING_MESSAGES {
+            trunk.waiting_messages.push_back(bytes);
             if trunk.links.is_empty() {
-                self.open_link(server, todo);
+                self.open_link(server, output);
             }
         }
     }
 
-    /// Takes back every set-up of which no byte has left.
-    pub fn cancel_queued(&mut self, server: ServerId, todo: &mut AdapterOutput) {
+    /// Withdraws every set-up of which no byte has been written.
+    pub fn cancel_queued(&mut self, server: ServerId, output: &mut AdapterOutput) {
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         for link in trunk.links.values_mut() {
-            let progress = if link.up.is_some() { Progress::Queued } else { Progress::NotConnected };
+            let progress =
+                if link.connected_at.is_some() { Progress::Queued } else { Progress::NotConnected };
             for sid in link.queue.cancel_all_unsent() {
-                link.out.remove(&sid);
+                link.set_ups.remove(&sid);
                 self.counts.withdrawn += 1;
                 let error = AttemptError { error: TransportError::Cancelled, progress };
-                todo.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
+                output.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
             }
         }
     }
 
-    /// A connection was made.
-    pub fn link_up(&mut self, no: u64, now: Time, todo: &mut AdapterOutput) {
-        let Some(server) = self.of_link.get(&no) else { return };
+    /// A connection was opened.
+    pub fn link_up(&mut self, no: u64, now: Time, output: &mut AdapterOutput) {
+        let Some(server) = self.server_of_link.get(&no) else { return };
         let Some(trunk) = self.trunks.get_mut(server) else { return };
         self.counts.connected += 1;
-        (trunk.again, trunk.heard) = (AGAIN.0, now);
-        let waiting = std::mem::take(&mut trunk.waiting);
+        (trunk.reconnect_delay, trunk.last_seen) = (RECONNECT_DELAY.0, now);
+        let waiting = std::mem::take(&mut trunk.waiting_messages);
         let Some(link) = trunk.links.get_mut(&no) else { return };
-        (link.up, link.heard) = (Some(now), now);
-        link.asked = link.asked.map(|_| now);
+        (link.connected_at, link.last_seen) = (Some(now), now);
+        link.unanswered_since = link.unanswered_since.map(|_| now);
         for bytes in waiting {
             link.queue.push(bytes, None);
         }
-        todo.deadlines.push((now.plus(FIRST_WORD), DeadlineOwner::SipFirstMessage, no));
+        output.deadlines.push((now.plus(FIRST_MESSAGE_TIMEOUT), DeadlineOwner::SipFirstMessage, no));
     }
 
-    /// A connection that stands may carry set-ups now, whether its call server has said something on it or not.
+    /// An open connection may carry set-ups now, even if nothing has arrived on it.
     pub fn first_message_overdue(&mut self, no: u64) {
-        let Some(server) = self.of_link.get(&no) else { return };
+        let Some(server) = self.server_of_link.get(&no) else { return };
         let link = self.trunks.get_mut(server).and_then(|t| t.links.get_mut(&no));
-        if let Some(link) = link.filter(|l| l.up.is_some() && !l.speaks) {
-            link.speaks = true;
+        if let Some(link) = link.filter(|l| l.connected_at.is_some() && !l.carries_set_ups) {
+            link.carries_set_ups = true;
             link.queue.hold(false);
         }
     }
 
-    /// A connection ended or could not be made.
-    pub fn link_ended(&mut self, no: u64, how: LinkEnd, now: Time, todo: &mut AdapterOutput) {
-        let Some(&server) = self.of_link.get(&no) else { return };
+    /// A connection ended or could not be opened.
+    pub fn link_ended(&mut self, no: u64, how: LinkEnd, now: Time, output: &mut AdapterOutput) {
+        let Some(&server) = self.server_of_link.get(&no) else { return };
         if how == LinkEnd::Closed(CloseReason::Malformed) || how == LinkEnd::Closed(CloseReason::Incomplete) {
             self.counts.closed_malformed += 1;
         }
-        self.end_link(server, no, how, now, todo);
+        self.end_link(server, no, how, now, output);
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
-        let none_up = trunk.links.values().all(|l| l.up.is_none() || l.asked.is_some());
+        let none_open =
+            trunk.links.values().all(|l| l.connected_at.is_none() || l.unanswered_since.is_some());
         let dead = match how {
             LinkEnd::Refused => true,
-            // Guards against calls that stand cut at a mere reset: any connection may be reset on its way. A process
-            // that has died refuses the next one, which is made for that at once.
-            // One that has left the list and whose last connection ends has nothing more to say.
+            // A reset alone does not mean death, or established calls would be cut off: any connection may be
+            // reset on its path. A process that has died refuses the next connection, which is opened at once
+            // for that. A call server that has left the list and whose last connection ends will send nothing
+            // more.
             LinkEnd::Closed(CloseReason::Closed | CloseReason::Reset) => !trunk.wanted,
             LinkEnd::Closed(_) | LinkEnd::ConnectFailed => false,
         };
-        if dead && none_up {
-            // Guards against calls left standing at callers when the process that carried them dies: it sends no
-            // releases, it only resets its connections.
-            trunk.standing.clear();
-            todo.inputs.push(Input::ServerDied(server));
+        if dead && none_open {
+            // Otherwise callers would keep established calls at a process that has died: it sends no
+            // releases, its connections are only reset.
+            trunk.established.clear();
+            output.inputs.push(Input::ServerDied(server));
         }
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         if trunk.wanted && trunk.links.is_empty() {
-            todo.deadlines.push((
-                now.plus(trunk.again),
+            output.deadlines.push((
+                now.plus(trunk.reconnect_delay),
                 DeadlineOwner::SipReconnect,
                 u64::from(server.address),
             ));
-            trunk.again = Span(trunk.again.0.saturating_mul(2)).min(AGAIN.1);
+            trunk.reconnect_delay = Span(trunk.reconnect_delay.0.saturating_mul(2)).min(RECONNECT_DELAY.1);
         }
     }
 
-    /// Takes a connection off the books. Each set-up on it is settled by how far it had come: one that has left may have
-    /// run; one that has not goes to another connection, since only this one was at fault.
-    fn end_link(&mut self, server: ServerId, no: u64, how: LinkEnd, now: Time, todo: &mut AdapterOutput) {
-        self.of_link.remove(&no);
+    /// Removes a connection. A set-up on it that was written may have run, and is lost; one that was not is
+    /// moved to another connection, since only this one failed.
+    fn end_link(&mut self, server: ServerId, no: u64, how: LinkEnd, now: Time, output: &mut AdapterOutput) {
+        self.server_of_link.remove(&no);
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         let Some(mut link) = trunk.links.remove(&no) else { return };
         if !matches!(how, LinkEnd::Closed(_)) {
@@ -579,136 +618,140 @@
                 waiting.push(item.bytes);
                 continue;
             };
-            let Some(set_up) = link.out.remove(&sid) else { continue };
-            let stood = matches!(how, LinkEnd::Closed(end) if end != CloseReason::ClosedHere);
-            if !(stood
-                && set_up.moves < MOST_MOVES
-                && self.move_on(server, sid, &set_up, &item.bytes, now, todo))
+            let Some(set_up) = link.set_ups.remove(&sid) else { continue };
+            let was_open = matches!(how, LinkEnd::Closed(end) if end != CloseReason::ClosedHere);
+            if !(was_open
+                && set_up.moves < MAX_MOVES
+                && self.move_set_up(server, sid, &set_up, &item.bytes, now, output))
             {
-                let (why, progress) = match link.up {
+                let (why, progress) = match link.connected_at {
                     None => (TransportError::ConnectFailed, Progress::NotConnected),
                     Some(_) => (TransportError::ConnectionClosed, Progress::Queued),
                 };
                 let error = AttemptError { error: why, progress };
-                todo.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
+                output.inputs.push(Input::Server(server, sid, ServerEvent::Lost(error)));
             }
         }
-        for sid in link.out.keys() {
+        for sid in link.set_ups.keys() {
             let error = AttemptError { error: TransportError::ConnectionClosed, progress: Progress::Written };
-            todo.inputs.push(Input::Server(server, *sid, ServerEvent::Lost(error)));
+            output.inputs.push(Input::Server(server, *sid, ServerEvent::Lost(error)));
         }
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
-        // Guards against calls left standing whose end was said on a connection that its call server was just closing, and
-        // against what had not left and waits for the next connection while another stands.
-        let again = |(_, bytes, said): &(Sid, Bytes, Time)| {
-            now.since(*said) < SAID_AGAIN && now >= *said && !waiting.contains(bytes)
+        // A release sent on a connection that the call server was just closing must be sent again, and one
+        // not written yet must not wait for the next connection while another is open.
+        let recent = |(_, bytes, sent_at): &(Sid, Bytes, Time)| {
+            now.since(*sent_at) < RESEND_WITHIN && now >= *sent_at && !waiting.contains(bytes)
         };
-        let again: Vec<(Sid, Bytes, Time)> = link.unheard.iter().filter(|end| again(end)).cloned().collect();
-        if let Some(other) = trunk.link_for_ends() {
+        let resend: Vec<(Sid, Bytes, Time)> =
+            link.unconfirmed.iter().filter(|end| recent(end)).cloned().collect();
+        if let Some(other) = trunk.link_for_releases() {
             for bytes in waiting {
-                let _ = other.queue.push(bytes, None); // one that takes no more is at its end itself
+                let _ = other.queue.push(bytes, None); // a full queue belongs to a connection that is failing itself
             }
-            return again.into_iter().for_each(|(sid, bytes, _)| other.says_end(sid, bytes, now));
+            return resend.into_iter().for_each(|(sid, bytes, _)| other.send_release(sid, bytes, now));
         }
-        let room = MOST_WAITING.saturating_sub(trunk.waiting.len());
-        let again = again.into_iter().map(|(_, bytes, _)| bytes).filter(|_| trunk.wanted);
-        trunk.waiting.extend(waiting.into_iter().chain(again).take(room));
+        let room = MAX_WAITING_MESSAGES.saturating_sub(trunk.waiting_messages.len());
+        let resend = resend.into_iter().map(|(_, bytes, _)| bytes).filter(|_| trunk.wanted);
+        trunk.waiting_messages.extend(waiting.into_iter().chain(resend).take(room));
     }
 
-    fn move_on(
+    fn move_set_up(
         &mut self,
         server: ServerId,
         sid: Sid,
-        set_up: &SetUpOut,
+        set_up: &OutstandingSetUp,
         bytes: &Bytes,
         now: Time,
-        todo: &mut AdapterOutput,
+        output: &mut AdapterOutput,
     ) -> bool {
-        let Some(no) = self.pick(server, sid, now, todo) else { return false };
+        let Some(no) = self.pick(server, sid, now, output) else { return false };
         let link = self.trunks.get_mut(&server).and_then(|t| t.links.get_mut(&no));
         let Some(link) = link.filter(|l| l.queue.push(bytes.clone(), Some(sid))) else { return false };
         let (number, moves) = (set_up.number.clone(), set_up.moves + 1);
-        link.out.insert(sid, SetUpOut { number, moves, since: now });
-        link.asked.get_or_insert(now);
+        link.set_ups.insert(sid, OutstandingSetUp { number, moves, queued_at: now });
+        link.unanswered_since.get_or_insert(now);
         self.counts.moved += 1;
         true
     }
 
-    /// Where the call server of a connection is.
+    /// The address of the call server that a connection leads to.
     pub fn address_of(&self, link: u64) -> Option<SocketAddr> {
-        Some(self.trunks.get(self.of_link.get(&link)?)?.dial)
+        Some(self.trunks.get(self.server_of_link.get(&link)?)?.address)
     }
 
-    /// A wait before the next connection is over.
-    pub fn reconnect(&mut self, key: u64, todo: &mut AdapterOutput) {
+    /// The reconnect delay of a call server has passed.
+    pub fn reconnect(&mut self, key: u64, output: &mut AdapterOutput) {
         let server = ServerId { address: u32::try_from(key).unwrap_or(0), port: 0 };
         if self.trunks.get(&server).is_some_and(|t| t.wanted && t.links.is_empty()) {
-            self.open_link(server, todo);
+            self.open_link(server, output);
         }
     }
 
-    /// A message came on a connection.
-    pub fn handle_message(&mut self, no: u64, message: &Message, now: Time, todo: &mut AdapterOutput) {
+    /// Handles a message received on a connection.
+    pub fn handle_message(&mut self, no: u64, message: &Message, now: Time, output: &mut AdapterOutput) {
         self.counts.received += 1;
-        let Some(&server) = self.of_link.get(&no) else { return };
+        let Some(&server) = self.server_of_link.get(&no) else { return };
         let Some(trunk) = self.trunks.get_mut(&server) else { return };
         let Some(link) = trunk.links.get_mut(&no) else { return };
-        link.asked = None;
-        // Guards against calls left standing at a machine that has vanished: an answer that was held up on its way is no
-        // word of today. It tells that the call server lived when it was asked.
-        let word = match (&message.start, Sid::parse(&message.call_id).and_then(|sid| link.out.get(&sid))) {
-            (StartLine::Request(_), _) => now,
-            (StartLine::Response(_), Some(set_up)) => set_up.since,
-            (StartLine::Response(_), None) => link.heard,
-        };
-        link.heard = link.heard.max(word);
-        trunk.heard = trunk.heard.max(word);
-        if !std::mem::replace(&mut link.speaks, true) {
+        link.unanswered_since = None;
+        // A delayed response does not show that the call server is alive now, only that it was when the
+        // request was sent. Otherwise the calls at a machine that has vanished would be kept too long.
+        let alive_at =
+            match (&message.start, Sid::parse(&message.call_id).and_then(|sid| link.set_ups.get(&sid))) {
+                (StartLine::Request(_), _) => now,
+                (StartLine::Response(_), Some(set_up)) => set_up.queued_at,
+                (StartLine::Response(_), None) => link.last_seen,
+            };
+        link.last_seen = link.last_seen.max(alive_at);
+        trunk.last_seen = trunk.last_seen.max(alive_at);
+        if !std::mem::replace(&mut link.carries_set_ups, true) {
             link.queue.hold(false);
         }
         let sid = Sid::parse(&message.call_id);
         match (&message.start, message.cseq.1.as_str(), sid) {
             (StartLine::Response(100..=199), _, _) => {}
             (StartLine::Response(code), "INVITE", Some(sid)) => {
-                let mut number = link.out.remove(&sid).map(|set_up| set_up.number);
-                let late = number.is_none() && link.was_given_up(sid);
-                if late && *code >= 300 {
-                    // Guards against a call that is tried here once more, and whose attempt is taken for refused by the
-                    // last word on the one before: it would go elsewhere while this one is out.
-                    let to = trunk.standing.get(&sid).map_or(NO_NUMBER, |number| number);
+                let mut number = link.set_ups.remove(&sid).map(|set_up| set_up.number);
+                let is_late = number.is_none() && link.take_cancelled(sid);
+                if is_late && *code >= 300 {
+                    // The call may have been tried here again. The final response to the cancelled set-up
+                    // must not end the new attempt, or the call would go elsewhere while this one is
+                    // outstanding.
+                    let to = trunk.established.get(&sid).map_or(NO_NUMBER, |number| number);
                     link.queue.push(request("ACK", to, sid, (message.cseq.0, "ACK"), "", ""), None);
                     if !message.report.is_empty() {
-                        todo.inputs.push(Input::Load(server, message.report.clone()));
+                        output.inputs.push(Input::Load(server, message.report.clone()));
                     }
                     return;
                 }
                 if number.is_none() {
-                    // The call stands by its first set-up, or by one whose connection has ended there: the one that is
-                    // out on another connection is the same call.
+                    // The call is established by its first set-up, or by one whose connection has ended; an
+                    // attempt outstanding on another connection belongs to the same call.
                     let mut others = trunk.links.values_mut();
-                    number = others.find_map(|l| l.out.remove(&sid)).map(|set_up| set_up.number);
+                    number = others.find_map(|l| l.set_ups.remove(&sid)).map(|set_up| set_up.number);
                 }
                 let Some(link) = trunk.links.get_mut(&no) else { return };
-                let asked = number.is_some();
-                let known = number.or_else(|| trunk.standing.get(&sid).cloned());
+                let requested = number.is_some();
+                let known = number.or_else(|| trunk.established.get(&sid).cloned());
                 let to = known.as_deref().unwrap_or(NO_NUMBER);
                 link.queue.push(request("ACK", to, sid, (message.cseq.0, "ACK"), "", ""), None);
-                let says = match (*code, std::str::from_utf8(&message.body)) {
+                let event = match (*code, std::str::from_utf8(&message.body)) {
                     (200..=299, Ok(body)) => {
-                        // Guards against entries for calls that nobody asked for here: a second copy, an unknown name.
-                        if let Some(number) = known.filter(|_| asked) {
-                            trunk.standing.insert(sid, number);
+                        // Only for calls that were requested here, not for a second copy or an unknown name.
+                        if let Some(number) = known.filter(|_| requested) {
+                            trunk.established.insert(sid, number);
                         }
-                        if asked && !std::mem::replace(&mut trunk.watched, true) {
+                        if requested && !std::mem::replace(&mut trunk.silence_watched, true) {
                             let key = u64::from(server.address);
-                            todo.deadlines.push((now.plus(ASK_AFTER), DeadlineOwner::SipSilence, key));
+                            output.deadlines.push((now.plus(PROBE_AFTER), DeadlineOwner::SipSilence, key));
                         }
                         ServerEvent::Answered(body.into())
                     }
                     (200..=299, Err(_)) => {
-                        // A description that is no text cannot be passed on unchanged: the call must not stand.
+                        // A description that is not text cannot be passed on unchanged, so the call must not
+                        // be established.
                         self.counts.malformed += 1;
-                        self.bye(server, sid, 16, now, todo);
+                        self.bye(server, sid, 16, now, output);
                         let error =
                             AttemptError { error: TransportError::Malformed, progress: Progress::Answered };
                         ServerEvent::Lost(error)
@@ -718,25 +761,25 @@
                         ServerEvent::Refused(refusal, cause, message.report.clone())
                     }
                 };
-                todo.inputs.push(Input::Server(server, sid, says));
+                output.inputs.push(Input::Server(server, sid, event));
             }
             (StartLine::Response(_), "BYE", Some(sid)) => {
-                link.unheard.retain(|(unheard, ..)| *unheard != sid)
+                link.unconfirmed.retain(|(unconfirmed, ..)| *unconfirmed != sid)
             }
             (StartLine::Response(_), _, _) => {}
             (StartLine::Request(method), _, sid) => match (method.as_str(), sid) {
                 ("BYE", Some(sid)) => {
                     link.queue.push(response(200, "OK", message), None);
-                    link.out.remove(&sid);
-                    trunk.standing.remove(&sid);
-                    let says = ServerEvent::Released(message.cause.unwrap_or(16), message.report.clone());
-                    todo.inputs.push(Input::Server(server, sid, says));
+                    link.set_ups.remove(&sid);
+                    trunk.established.remove(&sid);
+                    let event = ServerEvent::Released(message.cause.unwrap_or(16), message.report.clone());
+                    output.inputs.push(Input::Server(server, sid, event));
                 }
                 ("NOTIFY", _) => {
                     let in_body = std::str::from_utf8(&message.body).map(parse_report).unwrap_or_default();
                     let report = if message.report.is_empty() { in_body } else { message.report.clone() };
                     if !report.is_empty() {
-                        todo.inputs.push(Input::Load(server, report));
+                        output.inputs.push(Input::Load(server, report));
                     }
                 }
                 ("ACK", _) => {}
