--- a/src/directory/bulletin.rs
+++ b/src/directory/bulletin.rs
@@ -1,4 +1,4 @@
-//! The bulletin: numbered events over HTTP long polls, one always open.
+//! The bulletin: numbered events over HTTP long polling, with one poll always open.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,156 +13,161 @@
 use crate::core::{DirectoryEntry, Protocol};
 use crate::interface::{Cell, ServerState};
 
-/// How long a poll may stay unanswered, in milliseconds. Short, so that a connection that died silently is noticed.
-const PATIENCE_MS: u64 = 1_000;
-/// An answer must be whole so much after that, and so much after its first byte. Guards against a bulletin that stalls,
-/// and against one that says a little now and then and never comes to an end.
-const WHOLE_WITHIN: Duration = Duration::from_millis(500);
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
-/// Wait after a failure: the first, and the longest.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(250));
-/// The longest answer.
-const LONGEST: usize = 1024 * 1024;
+/// How long a poll may stay unanswered, in milliseconds. Short, so that a connection that died silently is
+/// noticed.
+const POLL_TIMEOUT_MS: u64 = 1_000;
+/// A response must be complete this long after the end of that time, and this long after its first byte: the
+/// bulletin may stall, or send a little now and then without ever completing.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Shortest and longest delay after a failure.
+const RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(250));
+/// Longest response.
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
 /// A change of the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    /// Its number.
+    /// Number of its event.
     pub no: u64,
-    /// Whether what is not named has left.
+    /// Whether the list is complete, so that call servers not named in it are gone.
     pub whole: bool,
-    /// Its lines.
+    /// Its entries.
     pub hosts: Vec<DirectoryEntry>,
 }
 
-/// What an answer holds.
+/// A parsed response.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Page {
-    /// Number of its last event.
+    /// Number of the last event, as the page says.
     pub no: u64,
     /// Its changes, in order.
     pub changes: Vec<Change>,
-    /// Lines and events that could not be read.
+    /// Number of entries and events that could not be parsed.
     pub malformed: u64,
-    /// The last event up to which everything was read; where it holds none, what was known before.
+    /// The last event up to which everything could be parsed; 0 if there is none.
     pub parsed_to: u64,
-    /// Why the first of what could not be read could not.
-    pub why: Option<String>,
+    /// Why the first malformed part could not be parsed.
+    pub first_error: Option<String>,
 }
 
-/// An event that could not be read is asked for so often in all before it is passed over.
-const ASKED: u8 = 3;
+/// How often a malformed event is requested in all before it is skipped.
+const MAX_REQUESTS: u8 = 3;
 
-/// Where a follower stands in the numbered events: what of a page is news, and from where the bulletin is asked on. It
-/// believes events, not what a page says of them: a spoilt number must not pass over what is still to come, nor a spoilt
-/// event over a drain that it told of.
+/// Position in the numbered events: decides which events of a page are new, and after which event the next
+/// poll asks. It relies on the events, not on what the page says about them: a corrupt number must not skip
+/// events still to come, nor a corrupt event hide a drain that it announced.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Cursor {
     after: u64,
-    /// How often what follows could not be read.
-    asked: u8,
+    /// How often the events after this position were malformed.
+    requests: u8,
 }
 
-/// What is taken of a page.
+/// What is used of a page.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PageUpdate {
     /// The changes, in order.
     pub changes: Vec<Change>,
-    /// What could not be read and is asked for again, or is passed over.
+    /// What was malformed and is either requested again or skipped.
     pub malformed: Option<MalformedEvents>,
 }
 
-/// Something of a page that could not be read.
+/// Malformed events of a page.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("what follows its event {after} cannot be read: {why}")]
+#[error("what follows its event {after} cannot be read: {reason}")]
 pub struct MalformedEvents {
-    /// The last event before it.
+    /// The last event before them.
     pub after: u64,
-    /// Lines and events that are passed over; none: they are asked for again.
+    /// Number of entries and events skipped; `None`: they are requested again.
     pub skipped: Option<u64>,
-    /// Why.
-    pub why: String,
+    /// What is wrong with the first of them.
+    pub reason: String,
 }
 
 impl Cursor {
-    /// One that has taken all up to this event.
+    /// A position right after the given event.
     pub fn at(after: u64) -> Cursor {
-        Cursor { after, asked: 0 }
+        Cursor { after, requests: 0 }
     }
-    /// The last event that was taken.
+    /// The last event taken.
     pub fn after(&self) -> u64 {
         self.after
     }
-    /// Takes what a page tells beyond the last event taken.
+    /// Takes the events of a page that are newer than the last one taken.
     pub fn take(&mut self, mut page: Page) -> PageUpdate {
         page.changes.retain(|change| change.no > self.after);
         let last = page.changes.last().map_or(0, |change| change.no).max(page.parsed_to);
-        let Some(why) = page.why else {
+        let Some(reason) = page.first_error else {
             if last > self.after {
                 *self = Cursor::at(last);
                 return PageUpdate { changes: page.changes, malformed: None };
             }
-            // One that has told everything says the number it was asked with, or one below it where it is behind.
+            // Without new events a page repeats the number asked for, or a lower one if the bulletin is
+            // behind.
             let malformed = (page.no > self.after).then(|| MalformedEvents {
                 after: self.after,
                 skipped: None,
-                why: format!("{} is said to be the last, and none is told", page.no),
+                reason: format!(
+                    "{} is reported as the last event, but the page has none that is new",
+                    page.no
+                ),
             });
             return PageUpdate { changes: Vec::new(), malformed };
         };
         if page.parsed_to > self.after {
             *self = Cursor::at(page.parsed_to);
         }
-        self.asked += 1;
+        self.requests += 1;
         let after = self.after;
-        if self.asked < ASKED {
+        if self.requests < MAX_REQUESTS {
             page.changes.retain(|change| change.no <= page.parsed_to);
             return PageUpdate {
                 changes: page.changes,
-                malformed: Some(MalformedEvents { after, skipped: None, why }),
+                malformed: Some(MalformedEvents { after, skipped: None, reason }),
             };
         }
-        // Where not one number can be read, the page's own is all there is; it holds for the next event at most.
+        // Without any readable event only the page's own number is left; it is trusted for one event at most.
         *self = Cursor::at(if last > after { last } else { page.no.clamp(after, after + 1) });
-        let malformed = Some(MalformedEvents { after, skipped: Some(page.malformed), why });
+        let malformed = Some(MalformedEvents { after, skipped: Some(page.malformed), reason });
         PageUpdate { changes: page.changes, malformed }
     }
 }
 
-/// An answer that cannot be used; the poll is made anew.
+/// Why a response cannot be used; the poll is repeated.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BulletinError {
     /// The connection failed.
-    #[error("the bulletin's connection failed: {0}")]
+    #[error("connection to the bulletin failed: {0}")]
     Connection(String),
-    /// The answer is no HTTP that can be read.
-    #[error("the bulletin's answer cannot be read: {0}")]
+    /// The response is not valid HTTP.
+    #[error("malformed response from the bulletin: {0}")]
     Http(String),
-    /// The text is no page.
-    #[error("the bulletin's page cannot be read: {0}")]
+    /// The body is not a valid page.
+    #[error("malformed page from the bulletin: {0}")]
     Page(String),
-    /// Part of the page cannot be read, and is asked for again.
+    /// Part of the page is malformed and is requested again.
     #[error("the bulletin's page: {0}")]
     Malformed(MalformedEvents),
 }
 
 #[derive(Deserialize)]
-struct PageForm {
+struct RawPage {
     no: u64,
     #[serde(default)]
     items: Vec<Value>,
 }
 
 #[derive(Deserialize)]
-struct ItemForm {
+struct RawItem {
     no: u64,
     #[serde(default)]
-    roster: Option<RosterForm>,
+    roster: Option<RawRoster>,
 }
 
 #[derive(Deserialize)]
-struct RosterForm {
+struct RawRoster {
     #[serde(default)]
     whole: bool,
     #[serde(default)]
@@ -170,7 +175,7 @@
 }
 
 #[derive(Deserialize)]
-struct HostForm {
+struct RawHost {
     host: String,
     dial: SocketAddr,
     #[serde(default)]
@@ -182,29 +187,30 @@
     born_ms: u64,
 }
 
-/// Reads a page; `zones` are the settings' names of zones. A malformed line costs itself alone.
+/// Parses a page; `zones` are the names of zones in the settings. A malformed entry does not affect the
+/// others.
 pub fn parse_page(text: &[u8], zones: &[String]) -> Result<Page, BulletinError> {
-    let form: PageForm = serde_json::from_slice(text).map_err(|e| BulletinError::Page(e.to_string()))?;
-    let mut page = Page { no: form.no, ..Page::default() };
-    for item in form.items {
-        let item: ItemForm = match serde_json::from_value(item) {
+    let raw: RawPage = serde_json::from_slice(text).map_err(|e| BulletinError::Page(e.to_string()))?;
+    let mut page = Page { no: raw.no, ..Page::default() };
+    for item in raw.items {
+        let item: RawItem = match serde_json::from_value(item) {
             Ok(item) => item,
             Err(error) => {
-                page.is_spoilt(format!("an event: {error}"));
+                page.add_malformed(format!("an event: {error}"));
                 continue;
             }
         };
         let mut hosts = Vec::new();
         for host in item.roster.iter().flat_map(|roster| &roster.hosts) {
-            match serde_json::from_value::<HostForm>(host.clone()) {
-                Ok(form) => match line_of(form, zones) {
-                    Ok(line) => hosts.push(line),
-                    Err(why) => page.is_spoilt(format!("event {}: {why}", item.no)),
+            match serde_json::from_value::<RawHost>(host.clone()) {
+                Ok(raw) => match entry_from_host(raw, zones) {
+                    Ok(entry) => hosts.push(entry),
+                    Err(why) => page.add_malformed(format!("event {}: {why}", item.no)),
                 },
-                Err(error) => page.is_spoilt(format!("event {}: a line: {error}", item.no)),
+                Err(error) => page.add_malformed(format!("event {}: a line: {error}", item.no)),
             }
         }
-        if page.why.is_none() {
+        if page.first_error.is_none() {
             page.parsed_to = page.parsed_to.max(item.no);
         }
         if let Some(roster) = item.roster {
@@ -215,69 +221,70 @@
 }
 
 impl Page {
-    fn is_spoilt(&mut self, why: String) {
+    fn add_malformed(&mut self, error: String) {
         self.malformed += 1;
-        self.why.get_or_insert(why);
+        self.first_error.get_or_insert(error);
     }
 }
 
-fn line_of(form: HostForm, zones: &[String]) -> Result<DirectoryEntry, String> {
-    let state = match form.health.as_str() {
+fn entry_from_host(raw: RawHost, zones: &[String]) -> Result<DirectoryEntry, String> {
+    let state = match raw.health.as_str() {
         "ready" => ServerState::Ready,
         "draining" => ServerState::Draining,
         "gone" => ServerState::Gone,
-        other => return Err(format!("host '{}': '{other}' is no state", form.host)),
+        other => return Err(format!("host '{}': '{other}' is no state", raw.host)),
     };
-    let zone = zones.iter().position(|zone| *zone == form.site).and_then(|at| u16::try_from(at).ok());
+    let zone = zones.iter().position(|zone| *zone == raw.site).and_then(|at| u16::try_from(at).ok());
     Ok(DirectoryEntry {
-        host: form.host,
-        address: form.dial,
+        host: raw.host,
+        address: raw.dial,
         protocol: Protocol::Sip,
-        cell: Cell(form.block),
+        cell: Cell(raw.block),
         zone: zone.unwrap_or(u16::MAX),
-        started_ms: form.born_ms,
+        started_ms: raw.born_ms,
         state,
     })
 }
 
-/// Takes the answer at the start of `bytes`: its body and its length, or `None` while it is not whole. `ended`: the
-/// other side writes no more.
+/// Parses the HTTP response at the start of `bytes`. Returns its body and length, or `None` while it is
+/// incomplete. `ended`: the peer's stream has ended.
 pub fn parse_response(bytes: &[u8], ended: bool) -> Result<Option<(Vec<u8>, usize)>, BulletinError> {
     let bad = |what: &str| BulletinError::Http(what.to_owned());
     let mut slots = [httparse::EMPTY_HEADER; 32];
-    let mut answer = httparse::Response::new(&mut slots);
-    let head = match answer.parse(bytes).map_err(|e| BulletinError::Http(e.to_string()))? {
+    let mut response = httparse::Response::new(&mut slots);
+    let head = match response.parse(bytes).map_err(|e| BulletinError::Http(e.to_string()))? {
         httparse::Status::Complete(n) => n,
-        httparse::Status::Partial if ended => return Err(bad("cut short")),
+        httparse::Status::Partial if ended => return Err(bad("truncated")),
         httparse::Status::Partial => return Ok(None),
     };
-    if answer.code != Some(200) {
-        return Err(BulletinError::Http(format!("status {}", answer.code.unwrap_or(0))));
+    if response.code != Some(200) {
+        return Err(BulletinError::Http(format!("HTTP status {}", response.code.unwrap_or(0))));
     }
     let header = |name: &str| {
-        let found = answer.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+        let found = response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
         found.and_then(|h| std::str::from_utf8(h.value).ok()).map(str::trim)
     };
     if header("Transfer-Encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
-        return chunked(bytes, head);
+        return parse_chunked(bytes, head);
     }
     match header("Content-Length").map(str::parse::<usize>) {
-        Some(Ok(length)) if length > LONGEST => Err(bad("too long")),
+        Some(Ok(length)) if length > MAX_RESPONSE_BYTES => Err(bad("too long")),
         Some(Ok(length)) => Ok(bytes.get(head..head + length).map(|body| (body.to_vec(), head + length))),
-        Some(Err(_)) => Err(bad("Content-Length is no number")),
+        Some(Err(_)) => Err(bad("Content-Length is not a number")),
         None if ended => Ok(Some((bytes[head..].to_vec(), bytes.len()))),
         None => Ok(None),
     }
 }
 
-fn chunked(bytes: &[u8], head: usize) -> Result<Option<(Vec<u8>, usize)>, BulletinError> {
+fn parse_chunked(bytes: &[u8], head: usize) -> Result<Option<(Vec<u8>, usize)>, BulletinError> {
     let bad = |what: &str| BulletinError::Http(what.to_owned());
     let (mut body, mut at) = (Vec::new(), head);
     loop {
-        match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| bad("chunk size"))? {
+        match httparse::parse_chunk_size(&bytes[at..]).map_err(|_| bad("malformed chunk size"))? {
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete((start, size)) => {
-                let size = usize::try_from(size).ok().filter(|s| *s <= LONGEST).ok_or(bad("too long"))?;
+                let size =
+                    usize::try_from(size).ok().filter(|s| *s <= MAX_RESPONSE_BYTES).ok_or(bad("too long"))?;
                 let Some(chunk) = bytes.get(at + start..at + start + size + 2) else { return Ok(None) };
                 at += start + size + 2;
                 if size == 0 {
@@ -289,8 +296,8 @@
     }
 }
 
-/// Follows the bulletin for good: `take` gets each page as it comes, moves the cursor on and says what it could not use;
-/// `failed` gets each failure.
+/// Follows the bulletin for good. `take` gets each page, advances the cursor and returns what it could not
+/// use; `failed` gets each failure.
 pub async fn follow(
     address: SocketAddr,
     cursor: &RefCell<Cursor>,
@@ -298,67 +305,77 @@
     mut take: impl FnMut(Page) -> Result<(), BulletinError>,
     mut failed: impl FnMut(BulletinError),
 ) {
-    let mut again = AGAIN.0;
+    let mut delay = RETRY_DELAY.0;
     loop {
         let before = cursor.borrow().after();
-        let ended = session(address, cursor, zones, &mut take).await;
-        // One that was ended in order, or brought news, is no failure: what is told between two polls is heard late.
+        let ended = poll_repeatedly(address, cursor, zones, &mut take).await;
+        // A session that ended in order or brought news was no failure. Events between two polls would arrive
+        // late, so the next one begins soon.
         if ended.is_ok() || cursor.borrow().after() > before {
-            again = AGAIN.0;
+            delay = RETRY_DELAY.0;
         }
         if let Err(error) = ended {
             failed(error);
         }
-        tokio::time::sleep(again).await;
-        again = (again * 2).min(AGAIN.1);
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(RETRY_DELAY.1);
     }
 }
 
-async fn session(
+async fn poll_repeatedly(
     address: SocketAddr,
     cursor: &RefCell<Cursor>,
     zones: &[String],
     take: &mut impl FnMut(Page) -> Result<(), BulletinError>,
 ) -> Result<(), BulletinError> {
-    let broken = |e: std::io::Error| BulletinError::Connection(e.to_string());
-    let late = |_| BulletinError::Connection("timed out".to_owned());
-    let mut stream = timeout(CONNECT, TcpStream::connect(address)).await.map_err(late)?.map_err(broken)?;
+    let io_error = |e: std::io::Error| BulletinError::Connection(e.to_string());
+    let timed_out = |_| BulletinError::Connection("timed out".to_owned());
+    let mut stream =
+        timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.map_err(timed_out)?.map_err(io_error)?;
     let _ = stream.set_nodelay(true);
     let mut bytes: Vec<u8> = Vec::new();
     let mut answered = false;
     loop {
-        let (asked, before) = (Instant::now(), cursor.borrow().after());
-        let ask = format!(
-            "GET /bulletins?after={}&patience={PATIENCE_MS} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n",
+        let (asked_at, before) = (Instant::now(), cursor.borrow().after());
+        let request = format!(
+            "GET /bulletins?after={}&patience={POLL_TIMEOUT_MS} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n",
             before
         );
-        // A connection that has brought answers and ends between two of them has done its work.
-        let over = |end: BulletinError, none: bool| if answered && none { Ok(()) } else { Err(end) };
-        if let Err(error) = stream.write_all(ask.as_bytes()).await {
-            return over(broken(error), true);
+        // A connection that has brought responses may end between two polls.
+        let ended_with = |error: BulletinError, between_responses: bool| {
+            if answered && between_responses {
+                Ok(())
+            } else {
+                Err(error)
+            }
+        };
+        if let Err(error) = stream.write_all(request.as_bytes()).await {
+            return ended_with(io_error(error), true);
         }
         let mut ended = false;
-        let mut whole_by = Instant::now() + Duration::from_millis(PATIENCE_MS) + WHOLE_WITHIN;
+        let mut deadline = Instant::now() + Duration::from_millis(POLL_TIMEOUT_MS) + RESPONSE_TIMEOUT;
         let body = loop {
             if let Some((body, used)) = parse_response(&bytes, ended)? {
                 bytes.drain(..used);
                 break body;
             }
             if ended {
-                return Err(BulletinError::Connection("closed".to_owned()));
+                return Err(BulletinError::Connection("closed by the peer".to_owned()));
             }
-            if bytes.len() > LONGEST {
+            if bytes.len() > MAX_RESPONSE_BYTES {
                 return Err(BulletinError::Http("too long".to_owned()));
             }
             let first = bytes.is_empty();
-            let read = timeout_at(whole_by, stream.read_buf(&mut bytes)).await;
-            ended = match read.map_err(late)? {
-                Ok(0) if first => return over(BulletinError::Connection("closed".to_owned()), true),
+            let read = timeout_at(deadline, stream.read_buf(&mut bytes)).await;
+            ended = match read.map_err(timed_out)? {
+                Ok(0) if first => {
+                    return ended_with(BulletinError::Connection("closed by the peer".to_owned()), true)
+                }
                 Ok(n) => n == 0,
-                Err(error) => return over(broken(error), first),
+                Err(error) => return ended_with(io_error(error), first),
             };
             if first {
-                whole_by = whole_by.min(Instant::now() + WHOLE_WITHIN);
+                deadline = deadline.min(Instant::now() + RESPONSE_TIMEOUT);
             }
         };
         take(parse_page(&body, zones)?)?;
@@ -366,9 +383,9 @@
         if ended {
             return Ok(());
         }
-        // Guards against asking without a rest where the bulletin does not wait for news: it was asked to.
-        if cursor.borrow().after() == before && asked.elapsed() < AGAIN.1 {
-            tokio::time::sleep(AGAIN.0).await;
+        // The bulletin was asked to wait for news; one that does not must not be polled without a pause.
+        if cursor.borrow().after() == before && asked_at.elapsed() < RETRY_DELAY.1 {
+            tokio::time::sleep(RETRY_DELAY.0).await;
         }
     }
 }
--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -1,4 +1,5 @@
-//! DNS-SD (RFC 6763): PTR, SRV and TXT records name the IAX2 call servers. Unicast queries to one resolver.
+//! DNS-SD (RFC 6763): PTR, SRV and TXT records name the IAX2 call servers. Sends unicast queries to one
+//! resolver.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,20 +14,20 @@
 use crate::core::{DirectoryEntry, Protocol};
 use crate::interface::{Cell, ServerState};
 
-/// Wait for one answer.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Wait after a failure, and the shortest between two rounds.
-const AGAIN: Duration = Duration::from_millis(250);
-/// Records are asked for again when this share of their life is over.
-const RENEW_AT: f64 = 0.8;
-/// No record is believed for longer without a look.
-const LONGEST: Duration = Duration::from_secs(60);
-/// The longest answer over UDP.
-const PAYLOAD: u16 = 4_096;
-/// Instances of the service at most.
-const MOST: usize = 256;
+/// Timeout for one response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a failure, and the shortest one between two rounds.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Records are refreshed after this fraction of their TTL.
+const REFRESH_AT: f64 = 0.8;
+/// Upper limit on the TTL of a record.
+const MAX_TTL: Duration = Duration::from_secs(60);
+/// Longest response over UDP.
+const MAX_PAYLOAD: u16 = 4_096;
+/// Largest number of instances of the service.
+const MAX_INSTANCES: usize = 256;
 
-/// A round that came to nothing.
+/// Why a round of queries failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DnsError {
     /// The resolver cannot be reached.
@@ -38,15 +39,15 @@
     /// It answered with an error.
     #[error("the resolver answered {0}")]
     ResponseCode(String),
-    /// A name cannot be asked for.
-    #[error("'{0}' is no name")]
+    /// The name cannot be used in a query.
+    #[error("'{0}' is not a valid name")]
     Name(String),
 }
 
-/// What one query brought; no record of the kind where the name does not exist.
+/// The records in a response; none if the name does not exist.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Response {
-    /// Records of the answer, and further ones that came along.
+    /// Answer and additional records.
     pub records: Vec<Record>,
 }
 
@@ -56,18 +57,18 @@
     }
 }
 
-/// A query's bytes.
+/// Encodes a query.
 pub fn query(id: u16, name: &Name, kind: RecordType) -> Option<Vec<u8>> {
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.metadata.recursion_desired = true;
     message.add_query(Query::query(name.clone(), kind));
     let mut edns = Edns::new();
-    edns.set_max_payload(PAYLOAD);
+    edns.set_max_payload(MAX_PAYLOAD);
     message.set_edns(edns);
     message.to_vec().ok()
 }
 
-/// Reads an answer; `None` if it is not one to this query, or cannot be read.
+/// Parses a response; `None` if it is malformed or does not belong to this query.
 pub fn parse_response(
     id: u16,
     name: &Name,
@@ -75,12 +76,12 @@
     bytes: &[u8],
 ) -> Option<Result<Response, DnsError>> {
     let message = Message::from_vec(bytes).ok()?;
-    let asked = message.queries.first()?;
-    let fits = message.metadata.id == id
+    let question = message.queries.first()?;
+    let matches = message.metadata.id == id
         && message.metadata.message_type == MessageType::Response
-        && asked.name() == name
-        && asked.query_type() == kind;
-    if !fits {
+        && question.name() == name
+        && question.query_type() == kind;
+    if !matches {
         return None;
     }
     Some(match message.metadata.response_code {
@@ -94,7 +95,8 @@
     })
 }
 
-/// The line that an instance's records make, and how long it holds. `None` if they make none.
+/// The directory entry that an instance's records give, and its TTL; `None` if they are incomplete or
+/// invalid.
 pub fn entry_from_records(
     instance: &Name,
     answer: &Response,
@@ -121,7 +123,7 @@
     if let Some(record) = text {
         ttl = ttl.min(record.ttl);
         if let RData::TXT(text) = &record.data {
-            pairs = pairs_of(text);
+            pairs = parse_pairs(text);
         }
     }
     let state = match pairs.get("state").map(String::as_str) {
@@ -132,7 +134,7 @@
     };
     let number = |key: &str| pairs.get(key).and_then(|value| value.parse::<u64>().ok()).unwrap_or(0);
     let zone = pairs.get("zone").and_then(|zone| zones.iter().position(|z| z == zone));
-    let line = DirectoryEntry {
+    let entry = DirectoryEntry {
         host: instance.to_ascii(),
         address: SocketAddr::new(ip?, service.port),
         protocol: Protocol::Iax2,
@@ -141,11 +143,12 @@
         started_ms: number("born_ms"),
         state,
     };
-    Some((line, Duration::from_secs(u64::from(ttl))))
+    Some((entry, Duration::from_secs(u64::from(ttl))))
 }
 
-/// `key=value` strings; of a repeated key the first counts, keys ignore case (RFC 6763, 6.4).
-fn pairs_of(text: &TXT) -> BTreeMap<String, String> {
+/// The `key=value` strings of a TXT record. The first of a repeated key counts, and keys ignore case (RFC
+/// 6763, 6.4).
+fn parse_pairs(text: &TXT) -> BTreeMap<String, String> {
     let mut pairs = BTreeMap::new();
     for string in &text.txt_data {
         let Ok(string) = std::str::from_utf8(string) else { continue };
@@ -155,91 +158,92 @@
     pairs
 }
 
-/// What is held of the service: each instance's line until its records' life is over.
+/// The known instances of the service, each until its records expire.
 #[derive(Debug, Default)]
 pub struct ServiceCache {
-    lines: BTreeMap<Name, (DirectoryEntry, Instant)>,
+    entries: BTreeMap<Name, (DirectoryEntry, Instant)>,
 }
 
 impl ServiceCache {
-    /// A round's findings: an instance that the PTR records no longer name has left.
+    /// Stores the result of a round. An instance that is not named any more is gone.
     pub fn update(&mut self, named: &[Name], found: Vec<(Name, DirectoryEntry, Duration)>, now: Instant) {
-        self.lines.retain(|name, _| named.contains(name));
-        for (name, line, life) in found {
-            self.lines.insert(name, (line, now + life.clamp(AGAIN * 2, LONGEST)));
+        self.entries.retain(|name, _| named.contains(name));
+        for (name, entry, ttl) in found {
+            self.entries.insert(name, (entry, now + ttl.clamp(RETRY_DELAY * 2, MAX_TTL)));
         }
     }
-    /// Drops what has outlived its records.
+    /// Removes instances whose records have expired.
     pub fn expire(&mut self, now: Instant) {
-        self.lines.retain(|_, (_, until)| *until > now);
+        self.entries.retain(|_, (_, until)| *until > now);
     }
-    /// All lines.
-    pub fn lines(&self) -> Vec<DirectoryEntry> {
-        self.lines.values().map(|(line, _)| line.clone()).collect()
+    /// The entries of all instances.
+    pub fn entries(&self) -> Vec<DirectoryEntry> {
+        self.entries.values().map(|(entry, _)| entry.clone()).collect()
     }
-    /// When the first of them must be looked at again.
+    /// Time until the first of them must be refreshed.
     pub fn refresh_in(&self, now: Instant) -> Duration {
-        let first = self.lines.values().map(|(_, until)| until.saturating_duration_since(now)).min();
-        first.unwrap_or(AGAIN * 4).mul_f64(RENEW_AT).max(AGAIN)
+        let first = self.entries.values().map(|(_, until)| until.saturating_duration_since(now)).min();
+        first.unwrap_or(RETRY_DELAY * 4).mul_f64(REFRESH_AT).max(RETRY_DELAY)
     }
 }
 
-/// What following a service has come to. It outlives a watch that ends because the configuration is read anew: what has
-/// left, or outlives its records, while nobody watches is told by the next one.
+/// State of following a service. It is kept while nobody follows because the configuration is read again: the
+/// next follower reports what has left or expired meanwhile.
 #[derive(Debug, Default)]
 pub struct ServiceState {
-    held: ServiceCache,
-    told: Option<Vec<DirectoryEntry>>,
+    cache: ServiceCache,
+    reported: Option<Vec<DirectoryEntry>>,
     id: u16,
 }
 
 impl ServiceState {
-    /// Nobody watches any more; whether call servers had been told, which have left with that.
+    /// Stops following. Returns whether call servers had been reported, which are gone with that.
     pub fn stop(&mut self) -> bool {
-        std::mem::take(self).told.is_some_and(|told| !told.is_empty())
+        std::mem::take(self).reported.is_some_and(|reported| !reported.is_empty())
     }
 }
 
-/// Follows the service for good: `take` gets the whole list each time it changes, `heard` what
-/// came of each round.
+/// Follows the service for good. `take` gets the whole list each time it changes, `report` the result of each
+/// round.
 pub async fn follow(
     resolver: SocketAddr,
     service: String,
     zones: Vec<String>,
-    ServiceState { held, told, id }: &mut ServiceState,
+    ServiceState { cache, reported, id }: &mut ServiceState,
     mut take: impl FnMut(Vec<DirectoryEntry>),
-    mut heard: impl FnMut(Result<(), DnsError>),
+    mut report: impl FnMut(Result<(), DnsError>),
 ) {
     loop {
-        let round = round(resolver, &service, &zones, id, held).await;
-        let wait = if round.is_ok() { held.refresh_in(Instant::now()) } else { AGAIN };
-        heard(round);
-        held.expire(Instant::now());
-        let lines = held.lines();
-        // An empty list is told only once there was another: a resolver not yet there says nothing of the servers.
-        if told.as_ref().map_or(!lines.is_empty(), |told| *told != lines) {
-            take(lines.clone());
-            *told = Some(lines);
+        let round = query_service(resolver, &service, &zones, id, cache).await;
+        let wait = if round.is_ok() { cache.refresh_in(Instant::now()) } else { RETRY_DELAY };
+        report(round);
+        cache.expire(Instant::now());
+        let entries = cache.entries();
+        // An empty list is reported only after another one: a resolver that has no data yet says nothing
+        // about the servers.
+        if reported.as_ref().map_or(!entries.is_empty(), |reported| *reported != entries) {
+            take(entries.clone());
+            *reported = Some(entries);
         }
         tokio::time::sleep(wait).await;
     }
 }
 
-async fn round(
+async fn query_service(
     resolver: SocketAddr,
     service: &str,
     zones: &[String],
     id: &mut u16,
-    held: &mut ServiceCache,
+    cache: &mut ServiceCache,
 ) -> Result<(), DnsError> {
-    let broken = |e: std::io::Error| DnsError::Socket(e.to_string());
-    let any = if resolver.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
-    let socket = UdpSocket::bind(any).await.map_err(broken)?;
-    socket.connect(resolver).await.map_err(broken)?;
+    let io_error = |e: std::io::Error| DnsError::Socket(e.to_string());
+    let any_address = if resolver.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+    let socket = UdpSocket::bind(any_address).await.map_err(io_error)?;
+    socket.connect(resolver).await.map_err(io_error)?;
     let service = Name::from_utf8(service).map_err(|_| DnsError::Name(service.to_owned()))?;
-    let pointers = ask(&socket, id, &service, RecordType::PTR).await?;
+    let pointers = send_query(&socket, id, &service, RecordType::PTR).await?;
     let mut named = Vec::new();
-    for record in pointers.of(&service, RecordType::PTR).take(MOST) {
+    for record in pointers.of(&service, RecordType::PTR).take(MAX_INSTANCES) {
         if let RData::PTR(instance) = &record.data {
             named.push((instance.0.clone(), record.ttl));
         }
@@ -249,7 +253,7 @@
         let mut all = pointers.clone();
         for kind in [RecordType::SRV, RecordType::TXT] {
             if all.of(instance, kind).next().is_none() {
-                all.records.extend(ask(&socket, id, instance, kind).await?.records);
+                all.records.extend(send_query(&socket, id, instance, kind).await?.records);
             }
         }
         let target = all.of(instance, RecordType::SRV).find_map(|r| match &r.data {
@@ -257,32 +261,37 @@
             _ => None,
         });
         if let Some(target) = target {
-            let known =
+            let has_address =
                 [RecordType::A, RecordType::AAAA].iter().any(|k| all.of(&target, *k).next().is_some());
-            if !known {
-                all.records.extend(ask(&socket, id, &target, RecordType::A).await?.records);
+            if !has_address {
+                all.records.extend(send_query(&socket, id, &target, RecordType::A).await?.records);
             }
         }
-        if let Some((line, life)) = entry_from_records(instance, &all, zones) {
-            found.push((instance.clone(), line, life.min(Duration::from_secs(u64::from(*ptr_ttl)))));
+        if let Some((entry, ttl)) = entry_from_records(instance, &all, zones) {
+            found.push((instance.clone(), entry, ttl.min(Duration::from_secs(u64::from(*ptr_ttl)))));
         }
     }
-    // An instance without a usable SRV record has left as much as one that is not named.
+    // An instance without a usable SRV record counts as gone, like one that is not named.
     let named: Vec<Name> = found.iter().map(|(name, _, _)| name.clone()).collect();
-    held.update(&named, found, Instant::now());
+    cache.update(&named, found, Instant::now());
     Ok(())
 }
 
-async fn ask(socket: &UdpSocket, id: &mut u16, name: &Name, kind: RecordType) -> Result<Response, DnsError> {
-    let broken = |e: std::io::Error| DnsError::Socket(e.to_string());
+async fn send_query(
+    socket: &UdpSocket,
+    id: &mut u16,
+    name: &Name,
+    kind: RecordType,
+) -> Result<Response, DnsError> {
+    let io_error = |e: std::io::Error| DnsError::Socket(e.to_string());
     *id = id.wrapping_add(1);
     let bytes = query(*id, name, kind).ok_or_else(|| DnsError::Name(name.to_ascii()))?;
-    socket.send(&bytes).await.map_err(broken)?;
-    let mut buffer = vec![0; usize::from(PAYLOAD)];
-    let answered = timeout(PATIENCE, async {
+    socket.send(&bytes).await.map_err(io_error)?;
+    let mut buffer = vec![0; usize::from(MAX_PAYLOAD)];
+    let answered = timeout(RESPONSE_TIMEOUT, async {
         loop {
-            let n = socket.recv(&mut buffer).await.map_err(broken)?;
-            // A datagram that is no answer to this query is passed over.
+            let n = socket.recv(&mut buffer).await.map_err(io_error)?;
+            // Datagrams that do not answer this query are ignored.
             if let Some(answer) = parse_response(*id, name, kind, &buffer[..n]) {
                 return answer;
             }
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,4 +1,4 @@
-//! Who the call servers are.
+//! Directories: the sources of the list of call servers.
 
 pub mod bulletin;
 pub mod dns_sd;
