--- a/tests/bad_peers.rs
+++ b/tests/bad_peers.rs
@@ -1,4 +1,4 @@
-//! Bad call servers and a bad bulletin on real sockets: what they spoil costs what it touched, and no more.
+//! Misbehaving call servers and bulletins on real sockets: the damage is limited to what they touch.
 
 mod support;
 
@@ -11,42 +11,48 @@
     Does::Answer(text.to_owned())
 }
 
-/// Guards against a spoilt answer that leaves its own call, or the others on its connection, waiting.
+/// A malformed response must not leave its own call, or others on its connection, waiting.
 #[rstest]
 #[case::noise("\u{1}\u{2} noise \u{3}\r\n\r\n")]
-#[case::no_such_line("SIP/2.0 OK 200\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny")]
-#[case::a_length_that_does_not_fit(
-    "SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: -4\r\n\r\ny"
+#[case::invalid_start_line(
+    "SIP/2.0 OK 200\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny"
 )]
-#[case::three_gigabytes(
+#[case::negative_length("SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: -4\r\n\r\ny")]
+#[case::oversized_length(
     "SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\ny"
 )]
-#[case::stops_short("SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: 9\r\n\r\ny")]
-#[case::stops_in_a_header("SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSe")]
-fn a_spoilt_answer_ends_its_connection_and_its_call_stands_elsewhere(#[case] spoilt: &str) {
+#[case::incomplete_body("SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: 9\r\n\r\ny")]
+#[case::incomplete_header("SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSe")]
+fn malformed_response_ends_its_connection_and_the_call_is_established_elsewhere(#[case] malformed: &str) {
     on_one_thread(async {
         let world = World::default();
-        let does = [Does::Say(spoilt.to_owned()), answers("b")];
+        let does = [Does::Say(malformed.to_owned()), answers("b")];
         let (controller, servers, _) = Controller::with_servers(&world, &does).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         let first = world.until("the set-up", |s| s.who == "s0" && matches!(s.what, What::SetUp(..))).await;
         assert_eq!(first.sid, name(1));
-        // From now on it answers well.
+        // From now on it answers correctly.
         *servers[0].does.borrow_mut() = answers("a");
         let answer = world.answer(&name(1)).await;
         assert!(matches!(answer.what, What::Ready(_)), "{answer:?}");
         let took = answer.at - first.at;
-        assert!(took >= Duration::from_millis(500), "none for the time of a release, but {took:?}");
-        assert!(took < Duration::from_millis(1_800), "within the aim, but {took:?}");
+        assert!(
+            took >= Duration::from_millis(500),
+            "the next attempt must wait for the release, but took {took:?}"
+        );
+        assert!(
+            took < Duration::from_millis(1_800),
+            "must be established within the goal time, but took {took:?}"
+        );
         let c = controller.instance.counters();
         assert_eq!((c.spoilt, c.completed, c.cancelled), (1, 1, 0));
     });
 }
 
-/// Guards against calls lost by resets of connections that carried none.
+/// Resets of idle connections must not cost calls.
 #[test]
-fn a_reset_of_idle_connections_costs_no_call() {
+fn resets_of_idle_connections_cost_no_calls() {
     on_one_thread(async {
         let world = World::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
@@ -54,7 +60,7 @@
         for n in 1..=20 {
             let before = controller.instance.counters().connected;
             servers[0].reset();
-            controller.turns("a connection is there anew", |i| i.counters().connected > before).await;
+            controller.turns("a new connection is open", |i| i.counters().connected > before).await;
             caller.open(&name(n), 9_000, 0, "x").await;
             assert_eq!(world.answer(&name(n)).await.what, What::Ready("a".into()));
         }
@@ -62,12 +68,12 @@
     });
 }
 
-/// Guards against a drain that is heard late because the bulletin broke off, or stalled, in the midst of telling it.
+/// A drain must not be noticed late because the bulletin breaks off, or stalls, while it is sent.
 #[rstest]
 #[case::breaks_off(Break::Off)]
 #[case::stalls(Break::Stall)]
 #[case::dribbles(Break::Dribble)]
-fn a_bulletin_that_spoils_its_answer_is_asked_again_in_time(#[case] how: Break) {
+fn interrupted_bulletin_response_is_requested_again_in_time(#[case] how: Break) {
     on_one_thread(async {
         let world = World::default();
         let (controller, servers, bulletin) =
@@ -75,12 +81,12 @@
         bulletin.breaks.set(Some(how));
         bulletin.tell(false, vec![host("s0", servers[0].at, 0, "draining")]);
         let told = |s: &Seen| matches!(s.what, What::Told(_));
-        let told = world.until_all("told", 2, told).await[1].at;
+        let told = world.until_all("the bulletin has sent it", 2, told).await[1].at;
         let drains = |i: &lockpoint::instance::Instance| {
             i.servers().iter().any(|l| l.state == lockpoint::interface::ServerState::Draining)
         };
-        controller.turns("the drain is heard", drains).await;
-        assert!(told.elapsed() < Duration::from_secs(2), "heard after {:?}", told.elapsed());
+        controller.turns("the drain is noticed", drains).await;
+        assert!(told.elapsed() < Duration::from_secs(2), "noticed after {:?}", told.elapsed());
         assert!(controller.instance.counters().bulletin_failures > 0);
     });
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,6 +1,6 @@
-//! Idle clients that take all the descriptors they can get while discovery is down: the list, the call servers, the console
-//! and the signals keep descriptors of their own, and a real client is served. The controller is the real program, under a
-//! limit of the system's on its descriptors.
+//! Idle clients take all descriptors they can get while discovery is down. The list, the call servers, the
+//! console and signals must still work, and a real client must be served. The controller runs as a program
+//! under a system limit on its descriptors.
 
 #[path = "support/platform.rs"]
 mod platform;
@@ -19,17 +19,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The system's limit on the controller's descriptors.
+/// System limit on the controller's descriptors.
 const DESCRIPTORS: u32 = 96;
-/// Idle clients at once: more than the controller has descriptors.
+/// Number of idle clients, more than the controller has descriptors.
 const IDLE: usize = 150;
-/// Call servers beside the one that answers.
+/// Call servers besides the one that answers.
 const OTHERS: u16 = 24;
-/// The list is there, and calls are served, so long after discovery has returned.
+/// How long after discovery recovers the list must be there and calls be served.
 const LIST_WITHIN: Duration = Duration::from_secs(3);
 
-/// Connects and says nothing; comes again whenever it is turned away.
-async fn stays_idle(at: SocketAddr) {
+/// Connects and sends nothing; connects again whenever it is disconnected.
+async fn stay_idle(at: SocketAddr) {
     loop {
         if let Ok(mut stream) = TcpStream::connect(at).await {
             let mut bytes = [0; 64];
@@ -39,24 +39,24 @@
     }
 }
 
-/// A call server that accepts, keeps every connection and says nothing.
+/// A call server that accepts, keeps every connection and sends nothing.
 async fn silent_server(connected: Rc<Cell<usize>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("an address");
     spawn_local(async move {
-        let mut kept = Vec::new();
+        let mut connections = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
-            if kept.is_empty() {
+            if connections.is_empty() {
                 connected.set(connected.get() + 1);
             }
-            kept.push(stream);
+            connections.push(stream);
         }
     });
     at
 }
 
-/// Whether the test that the front makes passes.
-async fn test_passes(at: SocketAddr) -> bool {
+/// Whether the health check of the front passes.
+async fn health_check_passes(at: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(at).await else { return false };
     let probe = json!({"msg": "probe", "sid": name(9_999), "attrs": {}, "code": 0});
     if stream.write_all(format!("{probe}\n").as_bytes()).await.is_err() {
@@ -77,7 +77,7 @@
     began.elapsed()
 }
 
-/// Calls the console without keeping the test's other tasks waiting.
+/// Calls the console without blocking the test's other tasks.
 async fn console(platform: &Rc<Platform>, word: &'static str) -> String {
     let address = platform.console;
     let asked = async {
@@ -90,25 +90,26 @@
     tokio::time::timeout(Duration::from_secs(1), asked).await.ok().flatten().unwrap_or_default()
 }
 
-/// Guards against callers who say nothing and take the descriptors that all else needs.
+/// Idle callers must not take the descriptors that everything else needs.
 #[rstest]
-#[case::limits_say_it(json!({"sockets": DESCRIPTORS}))]
-#[case::only_the_system_says_it(json!({}))]
-fn idle_clients_leave_descriptors_for_the_list_the_servers_the_console_and_a_real_client(
-    #[case] limits: Value,
-) {
+#[case::limit_from_the_configuration(json!({"sockets": DESCRIPTORS}))]
+#[case::limit_from_the_system(json!({}))]
+fn idle_clients_leave_descriptors_for_list_servers_console_and_a_real_client(#[case] limits: Value) {
     on_one_thread(async {
         let world = World::default();
         let bulletin = free_address();
         let config = json!({"bulletin": bulletin.to_string(), "limits": limits, "settings": settings(1)});
         let label = format!("descriptors-{}", limits.as_object().map_or(0, serde_json::Map::len));
         let platform = Rc::new(Platform::start(&label, &config, Some(DESCRIPTORS)));
-        until("it listens", Duration::from_secs(10), async || TcpStream::connect(platform.at).await.is_ok())
-            .await;
+        until("the controller listens", Duration::from_secs(10), async || {
+            TcpStream::connect(platform.at).await.is_ok()
+        })
+        .await;
         for _ in 0..IDLE {
-            spawn_local(stays_idle(platform.at));
+            spawn_local(stay_idle(platform.at));
         }
-        // They have come, and those beyond what callers may hold have been turned away more than once.
+        // By now they have connected, and those beyond the limit for callers have been disconnected more than
+        // once.
         tokio::time::sleep(Duration::from_millis(500)).await;
         println!("{} descriptors held with discovery down", platform.descriptors());
         assert!(console(&platform, "PING").await.starts_with("FAILURE no list"), "the console answers");
@@ -119,12 +120,14 @@
         for n in 1..=OTHERS {
             hosts.push(host(&format!("s{n}"), silent_server(connected.clone()).await, 10 + n, "ready"));
         }
-        let returned = Bulletin::start_at(&world, bulletin).await.expect("discovery returns");
-        returned.tell(true, hosts);
-        let listed = until("the test passes", LIST_WITHIN, async || test_passes(platform.at).await).await;
+        let recovered = Bulletin::start_at(&world, bulletin).await.expect("discovery recovers");
+        recovered.tell(true, hosts);
+        let listed =
+            until("the health check passes", LIST_WITHIN, async || health_check_passes(platform.at).await)
+                .await;
         let all = usize::from(OTHERS);
         let reached =
-            until("all call servers are reached", LIST_WITHIN, async || connected.get() == all).await;
+            until("all call servers are connected", LIST_WITHIN, async || connected.get() == all).await;
         println!(
             "list {listed:?}, all call servers {reached:?} later; {} descriptors",
             platform.descriptors()
@@ -134,16 +137,16 @@
         let caller = Caller::connect(&world, "real", platform.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
-        // Whoever is of use stays, however many come that are not.
+        // A connection in use stays, however many idle ones arrive.
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert!(!caller.ended(), "the least used goes first");
+        assert!(!caller.ended(), "the least used connection must be closed first");
         server.release(&name(1), 16);
-        in_time("the release", world.until("it", |s| s.what == What::Close(16, None))).await;
-        // Signals are heard.
+        in_time("the release", world.until("it is closed", |s| s.what == What::Close(16, None))).await;
+        // Signals are handled.
         platform.signal("-HUP");
         platform.signal("-TERM");
         let pid = platform.child.id();
-        until("it ends", Duration::from_secs(10), async || {
+        until("the controller ends", Duration::from_secs(10), async || {
             let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
             stat.is_empty() || stat.contains(") Z ")
         })
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the parsers: whole, split, joined, oversized, malformed.
+//! Table tests of the parsers: complete, split, joined, oversized and malformed input.
 
 use std::path::Path;
 
@@ -17,8 +17,8 @@
 const OPEN: &str = r#"{"msg":"open","sid":"9b1f03aa5c7e2d41","attrs":{"class":"voice","left":"1500","key":"7f3a","extras":"dest:2;width:1;via:-1"},"text":"a\r\nb"}"#;
 
 #[test]
-fn a_set_up_is_read_whole() {
-    let Ok(Line::Open(open)) = jsonl::parse(OPEN.as_bytes()) else { panic!("no set-up") };
+fn set_up_fields_are_parsed() {
+    let Ok(Line::Open(open)) = jsonl::parse(OPEN.as_bytes()) else { panic!("not a set-up") };
     assert_eq!((open.sid.as_str(), &*open.class, &*open.number), ("9b1f03aa5c7e2d41", "voice", "7f3a"));
     assert_eq!((open.left, open.dest), (Span::from_millis(1500), Some(Cell(2))));
     assert_eq!(&*open.body, "a\r\nb");
@@ -27,19 +27,19 @@
 #[rstest]
 #[case::left_as_a_number(OPEN.replace(r#""1500""#, "1500"), true)]
 #[case::unknown_fields(OPEN.replace(r#""msg""#, r#""new":{"a":[1]},"msg""#), true)]
-#[case::no_choice(OPEN.replace("dest:2", "dest:-1"), true)]
+#[case::no_destination(OPEN.replace("dest:2", "dest:-1"), true)]
 #[case::no_class(OPEN.replace("class", "klass"), false)]
 #[case::no_number(OPEN.replace("\"key\"", "\"kay\""), false)]
-#[case::a_number_that_breaks_out(OPEN.replace("7f3a", "7f@x SIP/2.0\\r\\n"), false)]
-#[case::no_time(OPEN.replace("1500", "soon"), false)]
+#[case::number_that_alters_the_request_line(OPEN.replace("7f3a", "7f@x SIP/2.0\\r\\n"), false)]
+#[case::time_not_a_number(OPEN.replace("1500", "soon"), false)]
 #[case::no_description(OPEN.replace("\"text\"", "\"test\""), false)]
 #[case::short_name(OPEN.replace("9b1f03aa5c7e2d41", "9b1f"), false)]
 #[case::name_not_hex(OPEN.replace("9b1f03aa5c7e2d41", "9b1f03aa5c7e2d4z"), false)]
 #[case::cut_short(OPEN[..60].to_owned(), false)]
 #[case::not_an_object("[1]".to_owned(), false)]
 #[case::empty(String::new(), false)]
-fn set_ups(#[case] line: String, #[case] reads: bool) {
-    assert_eq!(matches!(jsonl::parse(line.as_bytes()), Ok(Line::Open(_))), reads);
+fn set_ups_are_accepted_or_rejected(#[case] line: String, #[case] accepted: bool) {
+    assert_eq!(matches!(jsonl::parse(line.as_bytes()), Ok(Line::Open(_))), accepted);
 }
 
 #[rstest]
@@ -47,75 +47,75 @@
 #[case(r#"{"msg":"closed","sid":"9b1f03aa5c7e2d41"}"#, "Closed")]
 #[case(r#"{"msg":"probe","sid":"0","code":0}"#, "Probe")]
 #[case(r#"{"msg":"trying","sid":"9b1f03aa5c7e2d41"}"#, "Other")]
-fn other_lines(#[case] line: &str, #[case] kind: &str) {
-    let read = format!("{:?}", jsonl::parse(line.as_bytes()).expect("readable"));
+fn other_lines_are_recognized(#[case] line: &str, #[case] kind: &str) {
+    let read = format!("{:?}", jsonl::parse(line.as_bytes()).expect("valid"));
     assert!(read.starts_with(kind), "{read}");
 }
 
 // ---- Limits ---------------------------------------------------------------------------------------------
 
-/// Guards against shares of the memory and the descriptors that are assumed and not read.
+/// The shares of memory and descriptors must follow the limits.
 #[rstest]
 #[case(256, 32)]
 #[case(384, 48)]
 #[case(1_024, 192)]
-fn what_each_concern_may_use_follows_the_limits(#[case] sockets: usize, #[case] memory_mb: usize) {
+fn shares_of_memory_and_descriptors_follow_the_limits(#[case] sockets: usize, #[case] memory_mb: usize) {
     let limits = Limits { sockets, memory_mb };
-    // Callers hold at most a third; the rest of their share is for those who hold more than that.
+    // Well-behaved callers hold at most a third; the rest of their share absorbs those that hold more.
     assert!(limits.callers() > sockets / 3 && limits.callers() + limits.links() < sockets);
-    // Beside many call servers callers have less, and all shares together leave some for the program itself.
+    // With many call servers callers get fewer, and all shares together leave some for the program itself.
     for servers in [0, 24, 40] {
         let callers = limits.callers_beside(servers);
         assert!(callers > sockets / 3 && callers <= limits.callers());
         assert!(callers + servers + limits.links() + limits.operators() < sockets - 8);
     }
-    // Four such shares: buffers, descriptions, and what waits on either side.
+    // Four such shares: buffers, descriptions, and the write queues of either side.
     assert!(4 * limits.eighth() <= (memory_mb << 20) / 2 && limits.buffers() * 16_640 <= limits.eighth());
     assert!(limits.calls(20_000) * 1_024 <= limits.eighth() && limits.calls(10) == 10);
 }
 
 // ---- SIP -------------------------------------------------------------------------------------------------
 
-const ANSWER: &str = "SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nP-Report: x0:12;x1:40;queue:3;new:1;util\r\nContent-Length: 4\r\n\r\na\r\nb";
+const RESPONSE: &str = "SIP/2.0 200 OK\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\nP-Report: x0:12;x1:40;queue:3;new:1;util\r\nContent-Length: 4\r\n\r\na\r\nb";
 
-fn read(bytes: &[u8]) -> Result<Option<(Message, usize)>, SipError> {
+fn parse_sip(bytes: &[u8]) -> Result<Option<(Message, usize)>, SipError> {
     message::parse(bytes)
 }
 
 #[test]
-fn sip_messages_come_split_anywhere_and_joined() {
-    for cut in 0..ANSWER.len() {
-        assert_eq!(read(&ANSWER.as_bytes()[..cut]), Ok(None), "cut at {cut}");
+fn sip_messages_are_parsed_when_split_or_joined() {
+    for cut in 0..RESPONSE.len() {
+        assert_eq!(parse_sip(&RESPONSE.as_bytes()[..cut]), Ok(None), "cut at {cut}");
     }
-    let two = format!("{ANSWER}{ANSWER}");
-    let (message, used) = read(two.as_bytes()).expect("readable").expect("whole");
-    assert_eq!((message.start, used), (StartLine::Response(200), ANSWER.len()));
+    let two = format!("{RESPONSE}{RESPONSE}");
+    let (message, used) = parse_sip(two.as_bytes()).expect("valid").expect("complete");
+    assert_eq!((message.start, used), (StartLine::Response(200), RESPONSE.len()));
     assert_eq!((message.call_id.as_str(), message.cseq), ("9b1f03aa5c7e2d41", (1, "INVITE".to_owned())));
-    let figures = [(LoadField::Idle, 12.0), (LoadField::Circuits, 40.0), (LoadField::Pending, 3.0)];
-    assert_eq!((message.report, message.body), (figures.to_vec(), b"a\r\nb".to_vec()));
+    let values = [(LoadField::Idle, 12.0), (LoadField::Circuits, 40.0), (LoadField::Pending, 3.0)];
+    assert_eq!((message.report, message.body), (values.to_vec(), b"a\r\nb".to_vec()));
 }
 
 #[rstest]
-#[case::lower_case_and_short(ANSWER.replace("Call-ID", "i").replace("Content-Length", "l"), "whole")]
-#[case::no_length(ANSWER.replace("Content-Length: 4", "X: 4"), "framing")]
-#[case::length_no_number(ANSWER.replace("Length: 4", "Length: four"), "framing")]
-#[case::too_long(ANSWER.replace("Length: 4", "Length: 16385"), "framing")]
-#[case::header_without_colon(ANSWER.replace("Via: ", "Via "), "framing")]
+#[case::lower_case_and_short(RESPONSE.replace("Call-ID", "i").replace("Content-Length", "l"), "whole")]
+#[case::no_length(RESPONSE.replace("Content-Length: 4", "X: 4"), "framing")]
+#[case::length_not_a_number(RESPONSE.replace("Length: 4", "Length: four"), "framing")]
+#[case::too_long(RESPONSE.replace("Length: 4", "Length: 16385"), "framing")]
+#[case::header_without_colon(RESPONSE.replace("Via: ", "Via "), "framing")]
 #[case::headers_without_end("A: b\r\n".repeat(3_000), "framing")]
-#[case::code_out_of_range(ANSWER.replace("200 OK", "42 OK"), "alone")]
-#[case::no_sip(ANSWER.replace("SIP/2.0 200 OK", "NOISE"), "alone")]
-#[case::other_version(ANSWER.replace("SIP/2.0 200 OK", "BYE sip:a@b SIP/3.0"), "alone")]
-fn sip_faults(#[case] text: String, #[case] costs: &str) {
-    let got = match read(text.as_bytes()) {
+#[case::code_out_of_range(RESPONSE.replace("200 OK", "42 OK"), "message")]
+#[case::not_sip(RESPONSE.replace("SIP/2.0 200 OK", "NOISE"), "message")]
+#[case::other_version(RESPONSE.replace("SIP/2.0 200 OK", "BYE sip:a@b SIP/3.0"), "message")]
+fn malformed_sip_costs_the_message_or_the_connection(#[case] text: String, #[case] expected: &str) {
+    let got = match parse_sip(text.as_bytes()) {
         Ok(Some(_)) => "whole",
         Ok(None) => "part",
         Err(SipError::Framing(_)) => "framing",
         Err(SipError::Message { length, .. }) => {
             assert_eq!(length, text.len());
-            "alone"
+            "message"
         }
     };
-    assert_eq!(got, costs);
+    assert_eq!(got, expected);
 }
 
 #[rstest]
@@ -132,18 +132,23 @@
 #[case(480, "", Refusal::NotSent, Cause::None)]
 #[case(504, "", Refusal::Reset, Cause::None)]
 #[case(302, "P-Reason: else\r\n", Refusal::Error, Cause::None)]
-fn sip_refusals(#[case] code: u16, #[case] headers: &str, #[case] refusal: Refusal, #[case] cause: Cause) {
+fn sip_refusals_are_classified(
+    #[case] code: u16,
+    #[case] headers: &str,
+    #[case] refusal: Refusal,
+    #[case] cause: Cause,
+) {
     let text = format!("SIP/2.0 {code} X\r\nCSeq: 1 INVITE\r\n{headers}Content-Length: 0\r\n\r\n");
-    let (message, _) = read(text.as_bytes()).expect("readable").expect("whole");
+    let (message, _) = parse_sip(text.as_bytes()).expect("valid").expect("complete");
     assert_eq!(message::refusal_from_response(&message, code), (refusal, cause));
 }
 
 #[test]
-fn what_is_written_can_be_read() {
-    let sid = Sid::parse("9b1f03aa5c7e2d41").expect("a name");
+fn written_sip_requests_can_be_parsed() {
+    let sid = Sid::parse("9b1f03aa5c7e2d41").expect("a valid name");
     let extra = "Reason: Q.850;cause=41\r\n";
     let bytes = message::request("BYE", "7f3a", sid, (2, "BYE"), extra, "\u{e9}");
-    let (message, used) = read(&bytes).expect("readable").expect("whole");
+    let (message, used) = parse_sip(&bytes).expect("valid").expect("complete");
     assert_eq!((used, message.number.as_str(), message.cause), (bytes.len(), "7f3a", Some(41)));
     assert_eq!(message.body, "\u{e9}".as_bytes());
 }
@@ -155,8 +160,8 @@
     {"host":"bad","dial":"nowhere","health":"ready"},{"host":"worse","dial":"10.1.0.9:1","health":"tired"}]}},"what"]}"#;
 
 #[test]
-fn a_page_is_read_and_its_malformed_parts_cost_themselves() {
-    let page = parse_page(PAGE.as_bytes(), &["west".to_owned(), "east".to_owned()]).expect("readable");
+fn malformed_parts_of_a_page_do_not_affect_the_others() {
+    let page = parse_page(PAGE.as_bytes(), &["west".to_owned(), "east".to_owned()]).expect("valid");
     assert_eq!((page.no, page.malformed, page.changes.len()), (41, 3, 1));
     let line = &page.changes[0].hosts[0];
     assert_eq!((line.host.as_str(), line.cell, line.zone, line.started_ms), ("s-00c41f7a", Cell(2), 1, 5));
@@ -165,25 +170,25 @@
 }
 
 #[rstest]
-#[case::counted("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP", false, Some(("abc", 41)))]
+#[case::content_length("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabcHTTP", false, Some(("abc", 41)))]
 #[case::chunked("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n", false, Some(("abc", 65)))]
 #[case::until_the_end("HTTP/1.1 200 OK\r\n\r\nabc", true, Some(("abc", 22)))]
-#[case::not_whole("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false, None)]
-#[case::chunk_not_whole("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na", false, None)]
-#[case::head_not_whole("HTTP/1.1 200", false, None)]
-fn http_answers(#[case] text: &str, #[case] ended: bool, #[case] body: Option<(&str, usize)>) {
-    let got = parse_response(text.as_bytes(), ended).expect("readable");
+#[case::incomplete("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", false, None)]
+#[case::incomplete_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na", false, None)]
+#[case::incomplete_head("HTTP/1.1 200", false, None)]
+fn http_responses_are_parsed(#[case] text: &str, #[case] ended: bool, #[case] body: Option<(&str, usize)>) {
+    let got = parse_response(text.as_bytes(), ended).expect("valid");
     assert_eq!(got, body.map(|(body, used)| (body.as_bytes().to_vec(), used)));
 }
 
 #[rstest]
-#[case::no_http("NOISE\r\n\r\n")]
+#[case::not_http("NOISE\r\n\r\n")]
 #[case::an_error("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")]
 #[case::too_long("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n")]
 #[case::no_length("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n")]
 #[case::no_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")]
 #[case::cut_short("HTTP/1.1 2")]
-fn http_faults(#[case] text: &str) {
+fn malformed_http_is_rejected(#[case] text: &str) {
     assert!(parse_response(text.as_bytes(), true).is_err());
 }
 
@@ -201,10 +206,10 @@
 }
 
 #[test]
-fn a_full_frame_of_the_rfc_is_read_and_written() {
-    // F and source 1, R and destination 2, timestamp 3, OSeqno 4, ISeqno 5, IAX control HANGUP, cause code 16.
+fn a_full_frame_is_parsed_and_written_as_in_the_rfc() {
+    // F and source 1, R and destination 2, timestamp 3, OSeqno 4, ISeqno 5, IAX HANGUP, cause code 16.
     let bytes = [0x80, 1, 0x80, 2, 0, 0, 0, 3, 4, 5, 6, 5, 0x2a, 1, 16];
-    let Ok(Datagram::Full(frame)) = frame::parse(&bytes) else { panic!("no full frame") };
+    let Ok(Datagram::Full(frame)) = frame::parse(&bytes) else { panic!("not a full frame") };
     assert_eq!((frame.source, frame.dest, frame.retransmitted, frame.timestamp), (1, 2, true, 3));
     assert_eq!((frame.oseq, frame.iseq, frame.kind), (4, 5, Kind::Iax(Iax::Hangup)));
     assert_eq!(frame.elements.number(frame::ie::CAUSE_CODE), Some(16));
@@ -212,7 +217,7 @@
 }
 
 #[test]
-fn long_variables_go_in_parts_and_come_back_whole() {
+fn long_variables_are_split_and_joined_again() {
     let frame = new_frame();
     assert!(frame.elements.0.len() > 5);
     assert_eq!(frame::parse(&frame.bytes()), Ok(Datagram::Full(frame.clone())));
@@ -224,7 +229,7 @@
 }
 
 #[test]
-fn a_frame_cut_anywhere_is_an_error_or_a_shorter_frame_and_never_more() {
+fn a_truncated_frame_is_an_error_or_a_frame_with_fewer_elements() {
     let bytes = new_frame().bytes();
     for cut in 0..bytes.len() {
         match frame::parse(&bytes[..cut]) {
@@ -237,7 +242,7 @@
     }
 }
 
-/// Bytes as RFC 5456, 8.1 draws them, and what they mean.
+/// Bytes as laid out in RFC 5456, 8.1, and what they mean.
 #[rstest]
 #[case::mini(&[0x00, 5, 0x12, 0x34, 9, 9], Ok(Datagram::Mini { source: 5, timestamp: 0x1234, data: vec![9, 9] }))]
 #[case::video(&[0, 0, 0x80, 7, 0x80, 3, 8], Ok(Datagram::Video { source: 7, mark: true, timestamp: 3, data: vec![8] }))]
@@ -254,14 +259,14 @@
 #[case::element_past_the_end(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1, 0x01, 4, b'7'], Err(FrameError::TruncatedElement(1)))]
 #[case::element_without_length(&[0x80, 1, 0, 0, 0, 0, 0, 0, 0, 0, 6, 1, 0x01], Err(FrameError::TruncatedElement(1)))]
 #[case::oversized(&[0xff; 20_000], Err(FrameError::TooLong(20_000)))]
-fn datagrams(#[case] bytes: &[u8], #[case] means: Result<Datagram, FrameError>) {
-    assert_eq!(frame::parse(bytes), means);
-    if let Ok(datagram) = means {
+fn datagrams_are_parsed_and_written(#[case] bytes: &[u8], #[case] expected: Result<Datagram, FrameError>) {
+    assert_eq!(frame::parse(bytes), expected);
+    if let Ok(datagram) = expected {
         assert_eq!(datagram.bytes(), bytes);
     }
 }
 
-/// Type and subclass of full frames (8.2 to 8.4, 8.7), the C bit with them.
+/// Type and subclass of full frames (RFC 5456, 8.2 to 8.4, 8.7), with the C bit.
 #[rstest]
 #[case(1, b'5', Kind::Dtmf(b'5'))]
 #[case(2, 4, Kind::Voice(4))]
@@ -278,9 +283,9 @@
 #[case(2, 0xa0, Kind::Other(2, 0xa0))]
 #[case(6, 0x81, Kind::Other(6, 0x81))]
 #[case(99, 1, Kind::Other(99, 1))]
-fn kinds(#[case] code: u8, #[case] subclass: u8, #[case] kind: Kind) {
+fn frame_types_are_parsed_and_written(#[case] code: u8, #[case] subclass: u8, #[case] kind: Kind) {
     let bytes = [0x80, 5, 0, 6, 0, 0, 0, 1, 2, 3, code, subclass];
-    let Ok(Datagram::Full(frame)) = frame::parse(&bytes) else { panic!("not read") };
+    let Ok(Datagram::Full(frame)) = frame::parse(&bytes) else { panic!("not a full frame") };
     assert_eq!(frame.kind, kind);
     assert_eq!(frame::parse(&frame.bytes()), Ok(Datagram::Full(frame)));
 }
@@ -343,15 +348,15 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2_000) })]
 
     #[test]
-    fn what_is_written_is_read_back(datagram in datagram()) {
+    fn written_datagrams_are_parsed_back(datagram in datagram()) {
         prop_assert_eq!(frame::parse(&datagram.bytes()), Ok(datagram));
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused_and_what_is_read_stays(
+    fn random_bytes_are_rejected_or_parsed_to_a_stable_datagram(
         bytes in proptest::collection::vec(any::<u8>(), 0..200), first in any::<u8>(), kind in 0..12_u8,
     ) {
-        // Whole noise seldom gets past the header: half of the cases are given one.
+        // Random bytes seldom pass as a header, so half of the cases get a valid start.
         let mut bytes = bytes;
         if first & 1 == 1 && bytes.len() > 11 {
             (bytes[0], bytes[10]) = (first | 0x80, kind);
@@ -361,9 +366,9 @@
         }
     }
 
-    /// Guards against sound that jumps by a minute where the low half of its time wraps.
+    /// Timestamps must not jump by a minute where their low half wraps.
     #[test]
-    fn low_times_become_whole_again_also_across_a_wrap(last in any::<u32>(), step in -16_000..16_000_i32) {
+    fn full_timestamps_are_restored_across_a_wrap(last in any::<u32>(), step in -16_000..16_000_i32) {
         let whole = last.wrapping_add_signed(step);
         prop_assert_eq!(frame::full_timestamp(last, whole as u16, 16), whole);
         prop_assert_eq!(frame::full_timestamp(last, whole as u16 & 0x7fff, 15), whole);
@@ -375,8 +380,8 @@
 const OPERATOR: &str = include_str!("../deploy/agent.toml");
 
 #[test]
-fn the_example_file_can_be_used() {
-    let config = parse_operator(Path::new("agent.toml"), OPERATOR).expect("no fault");
+fn the_example_file_is_valid() {
+    let config = parse_operator(Path::new("agent.toml"), OPERATOR).expect("valid");
     assert!(config.instances.len() >= 2 && config.instances.iter().any(|i| i.dns_sd.is_some()));
 }
 
@@ -387,8 +392,8 @@
 #[case::twice(OPERATOR.replace("name = \"judges\"", "name = \"desks\""), "instance[1].name")]
 #[case::no_worth(OPERATOR.replacen("worth = 1.0", "wirth = 1.0", 1), "instance[0].settings")]
 #[case::no_instance("control = \"a\"".to_owned(), "'instance'")]
-fn operators_faults_name_file_and_key(#[case] text: String, #[case] key: &str) {
-    let error = parse_operator(Path::new("agent.toml"), &text).expect_err("a fault").to_string();
+fn operator_file_errors_name_file_and_key(#[case] text: String, #[case] key: &str) {
+    let error = parse_operator(Path::new("agent.toml"), &text).expect_err("invalid").to_string();
     assert!(error.contains("agent.toml") && error.contains(key) && !error.contains('\n'), "{error}");
 }
 
@@ -398,7 +403,7 @@
 #[case::bad_address(r#"{"bulletin":"x","settings":{}}"#, "bulletin")]
 #[case::no_settings(r#"{"bulletin":"127.0.0.1:1"}"#, "settings")]
 #[case::settings_lack(r#"{"bulletin":"127.0.0.1:1","settings":{"balancers":1}}"#, "settings")]
-fn platform_faults_name_file_and_key(#[case] text: &str, #[case] key: &str) {
-    let error = parse_platform(Path::new("config.json"), text.as_bytes()).expect_err("a fault").to_string();
+fn platform_file_errors_name_file_and_key(#[case] text: &str, #[case] key: &str) {
+    let error = parse_platform(Path::new("config.json"), text.as_bytes()).expect_err("invalid").to_string();
     assert!(error.contains("config.json") && error.contains(key), "{error}");
 }
