--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -19,23 +19,23 @@
 #[derive(Debug)]
 struct PoolState {
     buffers: Vec<Vec<u8>>,
-    lent: usize,
+    in_use: usize,
     max: usize,
 }
 
 impl BufferPool {
     /// A pool that lends at most `max` buffers at once.
     pub fn new(max: usize) -> Self {
-        Self(Rc::new(RefCell::new(PoolState { buffers: Vec::new(), lent: 0, max: max.max(2 * RESERVED) })))
+        Self(Rc::new(RefCell::new(PoolState { buffers: Vec::new(), in_use: 0, max: max.max(2 * RESERVED) })))
     }
 
     /// Takes an empty buffer; `None` if all are in use.
     pub fn take(&self) -> Option<Buffer> {
         let mut state = self.0.borrow_mut();
-        if state.lent >= state.max {
+        if state.in_use >= state.max {
             return None;
         }
-        state.lent += 1;
+        state.in_use += 1;
         let bytes = state.buffers.pop().unwrap_or_else(|| vec![0; BUFFER_BYTES]);
         Some(Buffer { bytes, filled: 0, pool: self.clone() })
     }
@@ -43,20 +43,20 @@
     /// Whether a buffer with a partial message may be kept until the rest arrives.
     pub fn may_hold_partial(&self) -> bool {
         let state = self.0.borrow();
-        state.lent + RESERVED <= state.max
+        state.in_use + RESERVED <= state.max
     }
 
     /// Changes the largest number of buffers in use at once.
     pub fn set_max(&self, max: usize) {
         let mut state = self.0.borrow_mut();
         state.max = max.max(2 * RESERVED);
-        let idle = state.max.saturating_sub(state.lent);
+        let idle = state.max.saturating_sub(state.in_use);
         state.buffers.truncate(idle);
     }
 
     /// Buffers in use.
-    pub fn lent(&self) -> usize {
-        self.0.borrow().lent
+    pub fn in_use(&self) -> usize {
+        self.0.borrow().in_use
     }
 }
 
@@ -92,7 +92,7 @@
 impl Drop for Buffer {
     fn drop(&mut self) {
         let mut state = self.pool.0.borrow_mut();
-        state.lent -= 1;
+        state.in_use -= 1;
         let bytes = std::mem::take(&mut self.bytes);
         // Only a few are kept for reuse; after a peak the memory of the others is freed.
         if state.buffers.len() < RESERVED {
@@ -116,7 +116,7 @@
         assert_eq!(held.len(), 20 - RESERVED + 1);
         assert!(pool.take().is_some(), "one for a message that arrives whole");
         drop(held);
-        assert_eq!((pool.lent(), pool.0.borrow().buffers.len()), (0, RESERVED));
+        assert_eq!((pool.in_use(), pool.0.borrow().buffers.len()), (0, RESERVED));
         pool.set_max(2 * RESERVED);
         assert_eq!(std::iter::from_fn(|| pool.take()).take(99).map(std::mem::forget).count(), 2 * RESERVED);
     }
--- a/src/net/queue.rs
+++ b/src/net/queue.rs
@@ -146,13 +146,16 @@
 
     /// Withdraws a set-up of which no byte has been written.
     pub fn cancel_unsent(&self, sid: Sid) -> bool {
-        let removed = self.remove_where(|item| item.set_up == Some(sid));
+        let removed = self.remove_where(|message| message.set_up == Some(sid));
         !removed.is_empty()
     }
 
     /// Withdraws all set-ups of which no byte has been written.
     pub fn cancel_all_unsent(&self) -> Vec<Sid> {
-        self.remove_where(|item| item.set_up.is_some()).into_iter().filter_map(|item| item.set_up).collect()
+        self.remove_where(|message| message.set_up.is_some())
+            .into_iter()
+            .filter_map(|message| message.set_up)
+            .collect()
     }
 
     /// Removes all messages of which no byte has been written, to send them on another connection.
@@ -168,10 +171,10 @@
         while at < inner.items.len() {
             if !which(&inner.items[at]) {
                 at += 1;
-            } else if let Some(item) = inner.items.remove(at) {
-                inner.queued_bytes -= item.bytes.len();
-                self.budget.give_back(item.bytes.len());
-                removed.push(item);
+            } else if let Some(message) = inner.items.remove(at) {
+                inner.queued_bytes -= message.bytes.len();
+                self.budget.give_back(message.bytes.len());
+                removed.push(message);
             }
         }
         removed
@@ -244,16 +247,16 @@
     /// Writes until the socket accepts no more.
     pub(crate) fn write_to(&self, stream: &TcpStream) -> io::Result<()> {
         let mut inner = self.inner.borrow_mut();
-        while let Some(item) = inner.items.front() {
-            match stream.try_write(&item.bytes[inner.written..]) {
+        while let Some(message) = inner.items.front() {
+            match stream.try_write(&message.bytes[inner.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
-                    let set_up = u64::from(item.set_up.is_some());
-                    let whole = inner.advance(n);
-                    if whole > 0 {
+                    let set_up = u64::from(message.set_up.is_some());
+                    let completed = inner.advance(n);
+                    if completed > 0 {
                         self.budget.0.set_ups.set(self.budget.0.set_ups.get() + set_up);
                     }
-                    self.budget.give_back(whole);
+                    self.budget.give_back(completed);
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
@@ -268,8 +271,8 @@
     /// Counts `n` bytes as written. Returns the length of the first message if that completes it.
     fn advance(&mut self, n: usize) -> usize {
         self.written += n;
-        let Some(item) = self.items.front() else { return 0 };
-        let length = item.bytes.len();
+        let Some(message) = self.items.front() else { return 0 };
+        let length = message.bytes.len();
         if self.written < length {
             return 0;
         }
--- a/src/upstream/sip/mod.rs
+++ b/src/upstream/sip/mod.rs
@@ -38,8 +38,8 @@
 const PROBE_AFTER: Span = Span::from_millis(3_000);
 /// Interval between silence checks of a call server with established calls.
 const SILENCE_CHECK_INTERVAL: Span = Span::from_millis(1_000);
-/// After this much silence the calls of a call server are released. Their callers are owed a release within 8
-/// s when its machine vanishes, and a call may have ended at the start of the silence, or shortly before it
+/// After this much silence the calls of a call server are released. When its machine vanishes, their callers
+/// must get a release within 8 s, and a call may have ended at the start of the silence, or shortly before it
 /// on a connection that fell silent first.
 const SILENCE_TIMEOUT: Span = Span::from_millis(6_500);
 /// How many cancelled set-ups, and how many releases sent, are remembered on a connection; the oldest are
@@ -211,13 +211,13 @@
         Self { budget: budget.clone(), max_links, ..Self::default() }
     }
 
-    /// Continues with the state handed over by the old process of a takeover. `stands`: whether the socket of
-    /// a connection was handed over; one without it has ended.
+    /// Continues with the state handed over by the old process of a takeover. `has_socket`: whether the
+    /// socket of a connection was handed over; one without it has ended.
     pub fn resume(
         mut self,
         budget: &Budget,
         max_links: usize,
-        stands: impl Fn(u64) -> bool,
+        has_socket: impl Fn(u64) -> bool,
     ) -> ResumedTrunks {
         (self.budget, self.max_links) = (budget.clone(), max_links);
         let (mut to_make, mut lost) = (Vec::new(), Vec::new());
@@ -228,7 +228,7 @@
                 }
                 match link.connected_at {
                     None => to_make.push((*no, trunk.address)),
-                    Some(_) if !stands(*no) => lost.push(*no),
+                    Some(_) if !has_socket(*no) => lost.push(*no),
                     Some(_) => {}
                 }
             }
@@ -472,14 +472,14 @@
         // A second connection is always allowed, as the first may have gone silent.
         let may_open = trunk.links.len() < 2 || (trunk.links.len() < MAX_LINKS && spare);
         let suspect = |l: &Link| l.unanswered_since.is_some_and(|at| now.since(at) > SUSPECT_AFTER);
-        let least = |which: &dyn Fn(&Link) -> bool| {
-            let fit = trunk.links.iter().filter(|(_, l)| which(l));
-            fit.min_by_key(|(_, l)| l.set_ups.len()).map(|(no, l)| (*no, l.set_ups.len()))
+        let least_loaded = |which: &dyn Fn(&Link) -> bool| {
+            let eligible = trunk.links.iter().filter(|(_, l)| which(l));
+            eligible.min_by_key(|(_, l)| l.set_ups.len()).map(|(no, l)| (*no, l.set_ups.len()))
         };
         let not_cancelled = |l: &Link| !l.cancelled.contains(&sid);
-        let healthy = least(&|l| l.carries_set_ups && !suspect(l) && not_cancelled(l));
-        let healthy = healthy.or_else(|| least(&|l| l.carries_set_ups && !suspect(l)));
-        let opening = least(&|l| !l.carries_set_ups && !suspect(l)).map(|(no, _)| no);
+        let healthy = least_loaded(&|l| l.carries_set_ups && !suspect(l) && not_cancelled(l));
+        let healthy = healthy.or_else(|| least_loaded(&|l| l.carries_set_ups && !suspect(l)));
+        let opening = least_loaded(&|l| !l.carries_set_ups && !suspect(l)).map(|(no, _)| no);
         match healthy {
             Some((no, outstanding)) => {
                 if outstanding > 0 && opening.is_none() && may_open {
@@ -489,7 +489,7 @@
             }
             None if opening.is_some() => opening,
             None if may_open => self.open_link(server, output),
-            None => least(&|_| true).map(|(no, _)| no),
+            None => least_loaded(&|_| true).map(|(no, _)| no),
         }
     }
 
@@ -611,18 +611,18 @@
         if !matches!(how, LinkEnd::Closed(_)) {
             self.counts.connect_failures += 1;
         }
-        let rest = link.queue.take_unsent();
+        let unsent = link.queue.take_unsent();
         let mut waiting = Vec::new();
-        for item in rest {
-            let Some(sid) = item.set_up else {
-                waiting.push(item.bytes);
+        for message in unsent {
+            let Some(sid) = message.set_up else {
+                waiting.push(message.bytes);
                 continue;
             };
             let Some(set_up) = link.set_ups.remove(&sid) else { continue };
             let was_open = matches!(how, LinkEnd::Closed(end) if end != CloseReason::ClosedHere);
             if !(was_open
                 && set_up.moves < MAX_MOVES
-                && self.move_set_up(server, sid, &set_up, &item.bytes, now, output))
+                && self.move_set_up(server, sid, &set_up, &message.bytes, now, output))
             {
                 let (why, progress) = match link.connected_at {
                     None => (TransportError::ConnectFailed, Progress::NotConnected),
--- a/src/upstream/sip/tests.rs
+++ b/src/upstream/sip/tests.rs
@@ -34,7 +34,7 @@
         output
     }
     fn receive(&mut self, link: u64, text: &str) -> AdapterOutput {
-        let (message, _) = message::parse(text.as_bytes()).expect("readable").expect("whole");
+        let (message, _) = message::parse(text.as_bytes()).expect("valid").expect("complete");
         let mut output = AdapterOutput::default();
         self.trunks.handle_message(link, &message, self.now, &mut output);
         output
@@ -76,10 +76,10 @@
     bench.trunks.cancel_queued(SERVER, &mut output);
     let [Input::Server(_, name, ServerEvent::Lost(error))] = &output.inputs[..] else { panic!("{output:?}") };
     assert!(*name == sid(1) && error.progress == Progress::NotConnected && error.progress.never_ran());
-    assert!(bench.trunks.queue_of(link).expect("kept").is_empty());
+    assert!(bench.trunks.queue_of(link).expect("a queue").is_empty());
     // Cancelling it afterwards sends nothing either.
     bench.trunks.cancel(SERVER, sid(1));
-    assert!(bench.trunks.queue_of(link).expect("kept").is_empty());
+    assert!(bench.trunks.queue_of(link).expect("a queue").is_empty());
 }
 
 /// Any connection may be reset on its path, while a process that has died refuses the next one. Established
@@ -124,7 +124,7 @@
     assert!(reports_death(&bench.check_silence()));
     let second = output.connects[0].0;
     bench.open(second);
-    assert!(!bench.trunks.queue_of(second).expect("kept").is_empty());
+    assert!(!bench.trunks.queue_of(second).expect("a queue").is_empty());
 }
 
 /// The list reports a restart seconds late, when a new connection is already open; releases on that
@@ -189,7 +189,7 @@
     let next = output.connects[0].0;
     bench.trunks.bye(SERVER, sid(1), 16, bench.now, &mut AdapterOutput::default());
     bench.open(next);
-    assert!(!bench.trunks.queue_of(next).expect("kept").is_empty());
+    assert!(!bench.trunks.queue_of(next).expect("a queue").is_empty());
 }
 
 /// A call server with as many connections as allowed, all of which carry set-ups.
@@ -223,7 +223,7 @@
     for n in 0..8 {
         bench.invite(n);
     }
-    let on_first = bench.trunks.queue_of(links[0]).expect("kept");
+    let on_first = bench.trunks.queue_of(links[0]).expect("a queue");
     // Written, so it may have run.
     on_first.mark_all_written();
     let output = bench.close(links[0], LinkEnd::Closed(CloseReason::Malformed));
@@ -240,12 +240,12 @@
     bench.invite(1);
     // It is open, but nothing has arrived on it yet: the set-up is held back.
     bench.trunks.link_up(link, bench.now, &mut AdapterOutput::default());
-    assert!(!bench.trunks.queue_of(link).expect("kept").may_write());
+    assert!(!bench.trunks.queue_of(link).expect("a queue").may_write());
     let output = bench.close(link, LinkEnd::Closed(CloseReason::Reset));
     assert!(output.inputs.is_empty(), "{output:?}");
     let next = output.connects[0].0;
     bench.open(next);
-    assert!(bench.trunks.queue_of(next).expect("kept").may_write());
+    assert!(bench.trunks.queue_of(next).expect("a queue").may_write());
     assert_eq!(bench.trunks.counts.moved, 1);
     // The number of moves is limited.
     let mut link = next;
@@ -265,7 +265,7 @@
     bench.trunks.link_up(link, bench.now, &mut output);
     assert_eq!(output.deadlines, [(at(150), DeadlineOwner::SipFirstMessage, link)]);
     bench.trunks.first_message_overdue(link);
-    assert!(bench.trunks.queue_of(link).expect("kept").may_write());
+    assert!(bench.trunks.queue_of(link).expect("a queue").may_write());
 }
 
 /// No entries may remain for responses with unknown names, nor for call servers that are gone.
@@ -277,7 +277,7 @@
         "SIP/2.0 200 OK\r\nCall-ID: 00000000000000ff\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny";
     bench.receive(link, unknown);
     assert!(bench.trunks.trunks[&SERVER].established.is_empty());
-    let queue = bench.trunks.queue_of(link).expect("kept");
+    let queue = bench.trunks.queue_of(link).expect("a queue");
     bench.trunks.forget(SERVER);
     assert!(queue.is_closing() && bench.trunks.trunks.is_empty() && bench.trunks.server_of_link.is_empty());
 }
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -15,27 +15,27 @@
     Does::Answer(text.to_owned())
 }
 
-/// Sends `says` and returns what the controller sends until it closes. Closing must take less than 3 s unless
+/// Sends `input` and returns what the controller sends until it closes. Closing must take less than 3 s unless
 /// the call was refused.
-async fn talk_until_closed(at: std::net::SocketAddr, says: &[u8]) -> String {
+async fn talk_until_closed(at: std::net::SocketAddr, input: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).await.expect("the controller listens");
     let began = Instant::now();
     let mut received = Vec::new();
-    let talk = async {
+    let exchange = async {
         // If the write fails, the connection has been closed already.
-        if stream.write_all(says).await.is_ok() {
+        if stream.write_all(input).await.is_ok() {
             let mut chunk = [0; 1024];
             while let Ok(n @ 1..) = stream.read(&mut chunk).await {
                 received.extend_from_slice(&chunk[..n]);
             }
         }
     };
-    assert!(tokio::time::timeout(Duration::from_secs(10), talk).await.is_ok(), "never closed: {says:?}");
+    assert!(tokio::time::timeout(Duration::from_secs(10), exchange).await.is_ok(), "never closed: {input:?}");
     let received = String::from_utf8(received).expect("text");
     let took = began.elapsed();
     assert!(
         took < Duration::from_secs(3) || received.contains("\"close\""),
-        "no reply for {took:?}: {says:?}"
+        "no reply for {took:?}: {input:?}"
     );
     received
 }
@@ -67,12 +67,15 @@
 #[case::a_message_too_long(open(&name(1), ("\"x\"", &format!("\"{}\"", "y".repeat(15_900)))), "close")]
 #[case::cancelled([open(&name(1), ("x", "x")), format!("{{\"msg\":\"close\",\"sid\":\"{}\"}}\n", name(1)).into()].concat(), "")]
 #[case::one_name_for_two([open(&name(1), ("x", "x")), open(&name(1), ("\"x\"", "\"z\""))].concat(), "close")]
-fn misbehaving_clients_are_turned_away_in_time_and_never_served(#[case] says: Vec<u8>, #[case] answer: &str) {
+fn misbehaving_clients_are_turned_away_in_time_and_never_served(
+    #[case] input: Vec<u8>,
+    #[case] answer: &str,
+) {
     on_one_thread(async {
         let world = World::default();
         // The call server does not answer, so every reply comes from the controller.
         let (controller, _servers, _) = Controller::with_servers(&world, &[Does::Silent]).await;
-        let received = talk_until_closed(controller.at, &says).await;
+        let received = talk_until_closed(controller.at, &input).await;
         assert!(!received.contains("ready"), "{received}");
         assert!(received.contains(answer), "{received}");
         controller.turns("the connection is closed", |i| i.counters().clients == 0).await;
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -96,7 +96,7 @@
 }
 
 #[rstest]
-#[case::lower_case_and_short(RESPONSE.replace("Call-ID", "i").replace("Content-Length", "l"), "whole")]
+#[case::lower_case_and_short(RESPONSE.replace("Call-ID", "i").replace("Content-Length", "l"), "complete")]
 #[case::no_length(RESPONSE.replace("Content-Length: 4", "X: 4"), "framing")]
 #[case::length_not_a_number(RESPONSE.replace("Length: 4", "Length: four"), "framing")]
 #[case::too_long(RESPONSE.replace("Length: 4", "Length: 16385"), "framing")]
@@ -107,8 +107,8 @@
 #[case::other_version(RESPONSE.replace("SIP/2.0 200 OK", "BYE sip:a@b SIP/3.0"), "message")]
 fn malformed_sip_costs_the_message_or_the_connection(#[case] text: String, #[case] expected: &str) {
     let got = match parse_sip(text.as_bytes()) {
-        Ok(Some(_)) => "whole",
-        Ok(None) => "part",
+        Ok(Some(_)) => "complete",
+        Ok(None) => "incomplete",
         Err(SipError::Framing(_)) => "framing",
         Err(SipError::Message { length, .. }) => {
             assert_eq!(length, text.len());
@@ -369,9 +369,9 @@
     /// Timestamps must not jump by a minute where their low half wraps.
     #[test]
     fn full_timestamps_are_restored_across_a_wrap(last in any::<u32>(), step in -16_000..16_000_i32) {
-        let whole = last.wrapping_add_signed(step);
-        prop_assert_eq!(frame::full_timestamp(last, whole as u16, 16), whole);
-        prop_assert_eq!(frame::full_timestamp(last, whole as u16 & 0x7fff, 15), whole);
+        let full = last.wrapping_add_signed(step);
+        prop_assert_eq!(frame::full_timestamp(last, full as u16, 16), full);
+        prop_assert_eq!(frame::full_timestamp(last, full as u16 & 0x7fff, 15), full);
     }
 }
 
