--- a/src/console.rs
+++ b/src/console.rs
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use crate::net::conn::part_unheard;
+use crate::net::conn::close_discarding_input;
 
 /// The longest command line.
 const MAX_LINE_BYTES: usize = 128;
@@ -189,7 +189,7 @@
                         Ok(Ok(()))
                     ) {
                         // Guards against a reset that destroys the reply when the client has sent more than was read.
-                        part_unheard(&stream).await;
+                        close_discarding_input(&stream).await;
                     }
                 });
                 // Many console connections must not delay callers.
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -34,15 +34,15 @@
 use crate::iax2::frame::MAX_DATAGRAM_BYTES as LONGEST_FRAME;
 use crate::iax2::legs::Outgoing;
 use crate::interface::{ServerId, Time};
-use crate::net::conn::Line;
-use crate::net::guests::Guests;
-use crate::net::peers::{Peers, LONGEST};
-use crate::net::pool::Pool;
+use crate::net::client_connections::ClientConnections;
+use crate::net::conn::Connection;
+use crate::net::peers::{Peers, MAX_DATAGRAM_BYTES};
+use crate::net::pool::BufferPool;
 use crate::net::queue::Budget;
 use crate::outages::Outages;
 use crate::upstream::iax2::Servers;
 use crate::upstream::sip::Trunks;
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 use counters::LocalCounters;
 use directories::DirectoryConfig;
 pub use handover::Predecessor;
@@ -81,7 +81,7 @@
 /// Mutable state of a controller, borrowed for the length of one event loop iteration.
 struct State {
     core: Core,
-    client_connections: Guests,
+    client_connections: ClientConnections,
     next_client: u64,
     sip: Trunks,
     iax2_front: Callers,
@@ -95,7 +95,7 @@
     /// Writes the records from which a later process recovers; `None`: no store is configured.
     record_writer: Option<RecordWriter>,
     /// The sockets of open TCP connections, by remote side and number.
-    connections: BTreeMap<(Side, u64), Rc<Line>>,
+    connections: BTreeMap<(Side, u64), Rc<Connection>>,
 }
 
 /// Configuration that only a restart can change.
@@ -130,7 +130,7 @@
     /// Callers' connections that are closed here and wait for the caller to close.
     closing_connections: Cell<usize>,
     limits: Cell<Limits>,
-    pool: Pool,
+    pool: BufferPool,
     /// Bytes that may wait to be written to all callers.
     caller_bytes: Budget,
     /// Bytes that may wait to be written to all call servers.
@@ -170,12 +170,12 @@
         };
         if let Some(socket) = callers {
             spawn_local(self.clone().receive_iax2(socket, |state, from, bytes, now, todo| {
-                state.iax2_front.datagram(from, bytes, now, todo);
+                state.iax2_front.handle_datagram(from, bytes, now, todo);
             }));
         }
         if let Some(socket) = servers {
             spawn_local(self.clone().receive_iax2(socket, |state, from, bytes, now, todo| {
-                state.iax2_servers.datagram(from, bytes, now, todo);
+                state.iax2_servers.handle_datagram(from, bytes, now, todo);
             }));
         }
         let peer_socket = self.0.state.borrow().peer_socket.clone();
@@ -251,9 +251,9 @@
             invites: sip.invites,
             withdrawn: sip.withdrawn,
             connected: sip.connected,
-            not_made: sip.not_made,
+            not_made: sip.connect_failures,
             moved: sip.moved,
-            spoilt: sip.spoilt,
+            spoilt: sip.closed_malformed,
             stale: sip.stale,
             malformed_lines: counters.malformed_lines,
             malformed_sip: sip.malformed + counters.malformed_sip,
@@ -261,8 +261,8 @@
             bulletin_failures: counters.bulletin_failures,
             dns_failures: counters.dns_failures,
             iax2_callers: state.iax2_front.live(),
-            iax2_calls_in: state.iax2_front.counts.news,
-            iax2_calls_out: state.iax2_servers.counts.news,
+            iax2_calls_in: state.iax2_front.counts.new_frames,
+            iax2_calls_out: state.iax2_servers.counts.new_frames,
             iax2_withdrawn: state.iax2_servers.counts.withdrawn,
             iax2_received: state.iax2_front.counts.received + state.iax2_servers.counts.received,
             iax2_malformed: state.iax2_front.counts.malformed + state.iax2_servers.counts.malformed,
@@ -294,14 +294,14 @@
 
     /// One event loop iteration: runs `work`, then processes the inputs and effects that follow from it until there
     /// are no more.
-    fn apply(&self, work: impl FnOnce(&mut State, &mut Todo)) {
-        let mut todo = Todo::default();
+    fn apply(&self, work: impl FnOnce(&mut State, &mut AdapterOutput)) {
+        let mut todo = AdapterOutput::default();
         let mut state = self.0.state.borrow_mut();
         let before = state.core.deadlines.next_at();
         let now = self.0.clock.now();
         work(&mut state, &mut todo);
         state.process_inputs(now, &mut todo);
-        if !todo.links.is_empty() {
+        if !todo.connects.is_empty() {
             state.make_room_for_links(self.0.limits.get(), self.0.closing_connections.get());
         }
         let after = state.core.deadlines.next_at();
@@ -309,7 +309,7 @@
         if after != before {
             self.0.rearm.notify_one();
         }
-        for (link, dial) in todo.links.into_iter().filter(|_| !self.0.stopped.get()) {
+        for (link, dial) in todo.connects.into_iter().filter(|_| !self.0.stopped.get()) {
             spawn_local(self.clone().link(link, dial));
         }
     }
@@ -333,7 +333,7 @@
     }
 
     /// Like `apply`, for tasks that serve many connections: a panic is counted and does not end the task.
-    fn apply_guarded(&self, work: impl FnOnce(&mut State, &mut Todo)) {
+    fn apply_guarded(&self, work: impl FnOnce(&mut State, &mut AdapterOutput)) {
         let iteration = std::panic::AssertUnwindSafe(|| self.apply(work));
         if std::panic::catch_unwind(iteration).is_err() {
             self.0.panics.set(self.0.panics.get() + 1);
@@ -345,7 +345,7 @@
     async fn receive_iax2(
         self,
         socket: Rc<UdpSocket>,
-        handle: impl Fn(&mut State, SocketAddr, &[u8], Time, &mut Todo),
+        handle: impl Fn(&mut State, SocketAddr, &[u8], Time, &mut AdapterOutput),
     ) {
         let mut bytes = vec![0; LONGEST_FRAME + 1];
         loop {
@@ -360,10 +360,10 @@
     }
 
     async fn receive_peer_messages(self, socket: Rc<UdpSocket>) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             match socket.recv_from(&mut bytes).await {
-                Ok((n, from)) if n <= LONGEST => {
+                Ok((n, from)) if n <= MAX_DATAGRAM_BYTES => {
                     let number = self.0.state.borrow().peers.number_of(from);
                     if let Some(number) = number {
                         self.0.state.borrow_mut().counters.peer_messages += 1;
@@ -379,23 +379,23 @@
 }
 
 impl State {
-    fn expire_deadlines(&mut self, now: Time, todo: &mut Todo) {
+    fn expire_deadlines(&mut self, now: Time, todo: &mut AdapterOutput) {
         let mut effects = Vec::new();
         let adapter_deadlines = self.core.expire_deadlines(now, &mut effects);
         for (owner, key) in adapter_deadlines {
             match owner {
                 DeadlineOwner::ClientConnections => self.review_client(key, now, todo),
-                DeadlineOwner::SipFirstMessage => self.sip.carries(key),
-                DeadlineOwner::SipReconnect => self.sip.due(key, todo),
-                DeadlineOwner::SipSilence => self.sip.watch(key, now, todo),
-                DeadlineOwner::Iax2Front => self.iax2_front.due(key, now, todo),
-                DeadlineOwner::Iax2Upstream => self.iax2_servers.due(key, now, todo),
+                DeadlineOwner::SipFirstMessage => self.sip.first_message_overdue(key),
+                DeadlineOwner::SipReconnect => self.sip.reconnect(key, todo),
+                DeadlineOwner::SipSilence => self.sip.check_silence(key, now, todo),
+                DeadlineOwner::Iax2Front => self.iax2_front.run_timer(key, now, todo),
+                DeadlineOwner::Iax2Upstream => self.iax2_servers.run_timer(key, now, todo),
             }
         }
         self.apply_effects(effects, now, todo);
     }
 
-    fn process_inputs(&mut self, now: Time, todo: &mut Todo) {
+    fn process_inputs(&mut self, now: Time, todo: &mut AdapterOutput) {
         let mut effects = Vec::new();
         loop {
             let inputs: VecDeque<Input> = std::mem::take(&mut todo.inputs).into();
@@ -410,13 +410,13 @@
         }
         send_all(self.iax2_front_socket.as_deref(), &mut todo.to_callers);
         send_all(self.iax2_server_socket.as_deref(), &mut todo.to_servers);
-        for (at, owner, key) in todo.dues.drain(..) {
+        for (at, owner, key) in todo.deadlines.drain(..) {
             self.core.deadlines.set(at, crate::core::Deadline::ProtocolAdapter(owner, key));
         }
         self.persist_changes();
     }
 
-    fn apply_effects(&mut self, effects: Vec<Effect>, now: Time, todo: &mut Todo) {
+    fn apply_effects(&mut self, effects: Vec<Effect>, now: Time, todo: &mut AdapterOutput) {
         for effect in effects {
             match effect {
                 Effect::Answer(client, sid, body) => match client.front {
@@ -448,8 +448,8 @@
                     self.answer_settled(no, false, now, todo);
                 }
                 Effect::ProtocolViolation(Client { front: FrontKind::JsonLines, no }) => {
-                    if let Some(at) = self.client_connections.offends(no, true, now) {
-                        todo.dues.push((at, DeadlineOwner::ClientConnections, no));
+                    if let Some(at) = self.client_connections.malformed_received(no, true, now) {
+                        todo.deadlines.push((at, DeadlineOwner::ClientConnections, no));
                     }
                 }
                 Effect::ConfirmRelease(..) | Effect::AnswerNoLongerOwed(_) | Effect::ProtocolViolation(_) => {
@@ -459,7 +459,7 @@
                         self.sip.invite(server, sid, &class, &number, left, &body, now, todo);
                     }
                     Protocol::Iax2 => {
-                        self.iax2_servers.invite(server, sid, &class, &number, left, &body, now, todo);
+                        self.iax2_servers.set_up(server, sid, &class, &number, left, &body, now, todo);
                     }
                 },
                 Effect::Cancel(server, sid) => {
@@ -471,16 +471,16 @@
                     self.iax2_servers.hang_up(server, sid, cause, now, todo);
                 }
                 Effect::Connect { server, address, protocol: Protocol::Sip, restarted_at } => {
-                    self.sip.reach(server, address, restarted_at, todo);
+                    self.sip.connect(server, address, restarted_at, todo);
                 }
                 Effect::Connect { server, address, protocol: Protocol::Iax2, restarted_at } => {
-                    self.iax2_servers.reach(server, address, restarted_at, now, todo);
+                    self.iax2_servers.set_address(server, address, restarted_at, now, todo);
                 }
                 Effect::CancelQueued(server) => {
-                    self.sip.withdraw(server, todo);
-                    self.iax2_servers.withdraw(server, now, todo);
+                    self.sip.cancel_queued(server, todo);
+                    self.iax2_servers.cancel_unanswered(server, now, todo);
                 }
-                Effect::StopConnecting(server) => self.sip.leave(server),
+                Effect::StopConnecting(server) => self.sip.stop_connecting(server),
                 Effect::ServerReplaced(server) => {
                     self.sip.replaced(server, todo);
                     self.iax2_servers.replaced(server, now, todo);
@@ -489,10 +489,12 @@
                     self.sip.forget(server);
                     self.iax2_servers.forget(server);
                 }
-                Effect::RestoreCall { server, sid, number } => self.sip.adopt(server, sid, number, now, todo),
+                Effect::RestoreCall { server, sid, number } => {
+                    self.sip.restore_call(server, sid, number, now, todo)
+                }
                 Effect::SendToPeers(to, data) => {
                     if let Some(socket) = &self.peer_socket {
-                        self.peers.tell(socket, to, &data);
+                        self.peers.send(socket, to, &data);
                     }
                 }
                 Effect::Log(line) => tracing::info!("{line}"),
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -13,11 +13,11 @@
 use crate::instance::handover::{Listeners, Side};
 use crate::instance::{Instance, State};
 use crate::interface::{Span, Time};
-use crate::net::conn::{part, serve, End, Line, Reader, Unreadable};
-use crate::net::guests::Look;
-use crate::net::pool::MESSAGE;
+use crate::net::client_connections::IdleCheck;
+use crate::net::conn::{close_gracefully, serve, CloseReason, Connection, MalformedInput, MessageReader};
+use crate::net::pool::MAX_MESSAGE_BYTES;
 use crate::net::queue::WriteQueue;
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 
 /// Time for a caller's message, from its first byte to its last.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -40,27 +40,32 @@
 impl State {
     /// Closes a caller's connection that has been unused for too long or must end for a drain; otherwise sets the
     /// time of its next review.
-    pub(super) fn review_client(&mut self, no: u64, now: Time, todo: &mut Todo) {
+    pub(super) fn review_client(&mut self, no: u64, now: Time, todo: &mut AdapterOutput) {
         let has_calls = self.core.has_established_calls(client_of(no));
         self.client_connections.probe(no, || self.core.pending_call_on(client_of(no)).map(jsonl::trying));
         // A partly read set-up is waited for: if our close crossed its rest, the caller might make it again too late.
         // One that stays incomplete ends its connection by the message timeout.
-        let message_begun = self.connections.get(&(Side::Caller, no)).is_some_and(|line| line.has_begun());
-        if message_begun && self.client_connections.waits_for_the_rest(no, now) {
-            return todo.dues.push((now.plus(REST_CHECK_INTERVAL), DeadlineOwner::ClientConnections, no));
+        let message_begun =
+            self.connections.get(&(Side::Caller, no)).is_some_and(|line| line.has_partial_message());
+        if message_begun && self.client_connections.awaits_rest_of_message(no, now) {
+            return todo.deadlines.push((
+                now.plus(REST_CHECK_INTERVAL),
+                DeadlineOwner::ClientConnections,
+                no,
+            ));
         }
-        if let Some(connected_at) = self.client_connections.owed_nothing(no) {
+        if let Some(connected_at) = self.client_connections.accepted_at_if_idle(no) {
             match self.drain.review_connection(connected_at, has_calls, now) {
                 ConnectionReview::Keep => {}
                 ConnectionReview::ReviewAt(at) => {
-                    return todo.dues.push((at, DeadlineOwner::ClientConnections, no))
+                    return todo.deadlines.push((at, DeadlineOwner::ClientConnections, no))
                 }
                 ConnectionReview::Close => return self.client_connections.finish(no),
             }
         }
-        match self.client_connections.look(no, has_calls, now) {
-            Look::Again(at) => todo.dues.push((at, DeadlineOwner::ClientConnections, no)),
-            Look::Ends => self.counters.expired += 1,
+        match self.client_connections.check_idle(no, has_calls, now) {
+            IdleCheck::CheckAgainAt(at) => todo.deadlines.push((at, DeadlineOwner::ClientConnections, no)),
+            IdleCheck::Closed => self.counters.expired += 1,
         }
     }
 }
@@ -68,7 +73,7 @@
 impl State {
     /// Limits callers' connections to what is left beside those to the listed call servers.
     pub(super) fn limit_client_connections(&mut self, limits: Limits) {
-        self.client_connections.set_most(limits.callers_beside(self.core.listed_servers().count()));
+        self.client_connections.set_max(limits.callers_beside(self.core.listed_servers().count()));
     }
 
     /// Closes callers' connections in favour of those to call servers, the least used first. Guards against idle
@@ -76,16 +81,16 @@
     pub(super) fn make_room_for_links(&mut self, limits: Limits, closing: usize) {
         self.limit_client_connections(limits);
         let State { client_connections, core, .. } = self;
-        while !client_connections.fits(closing)
+        while !client_connections.is_within_limit(closing)
             && client_connections.make_room(|no| core.has_established_calls(client_of(no)))
         {}
     }
 
     /// One of a connection's set-ups needs no answer any more. During a drain the connection may now end.
-    pub(super) fn answer_settled(&mut self, no: u64, told: bool, now: Time, todo: &mut Todo) {
-        self.client_connections.settled(no, told, now);
+    pub(super) fn answer_settled(&mut self, no: u64, told: bool, now: Time, todo: &mut AdapterOutput) {
+        self.client_connections.set_up_settled(no, told, now);
         if !self.drain.is_working() {
-            todo.dues.push((now, DeadlineOwner::ClientConnections, no));
+            todo.deadlines.push((now, DeadlineOwner::ClientConnections, no));
         }
     }
 }
@@ -151,8 +156,8 @@
     /// Registers a new connection and serves it. Registered before anything else runs, so that a takeover includes
     /// it.
     fn add_client(&self, stream: TcpStream) {
-        let queue = Rc::new(WriteQueue::within(&self.0.caller_bytes));
-        let line = Rc::new(Line::new(stream));
+        let queue = Rc::new(WriteQueue::with_budget(&self.0.caller_bytes));
+        let line = Rc::new(Connection::new(stream));
         let now = self.0.clock.now();
         let mut no = 0;
         self.apply(|state, todo| {
@@ -161,34 +166,34 @@
             state.connections.insert((Side::Caller, no), line.clone());
             let first_review = state.client_connections.add(no, queue.clone(), now);
             let until = state.drain.accepts_connections_until().map_or(first_review, |_| now);
-            todo.dues.push((until, DeadlineOwner::ClientConnections, no));
+            todo.deadlines.push((until, DeadlineOwner::ClientConnections, no));
             todo.inputs.push(Input::ClientUp(client_of(no)));
         });
         self.serve_client(no, line);
     }
 
     /// Serves a registered caller's connection.
-    pub(super) fn serve_client(&self, no: u64, line: Rc<Line>) {
+    pub(super) fn serve_client(&self, no: u64, line: Rc<Connection>) {
         // Guards against a stale registration after a panic in reading the connection's bytes.
         let guard = ClientGuard { instance: self.clone(), no };
         spawn_local(self.clone().run_client(no, line, guard));
     }
 
-    async fn run_client(self, no: u64, line: Rc<Line>, guard: ClientGuard) {
+    async fn run_client(self, no: u64, line: Rc<Connection>, guard: ClientGuard) {
         let Some(queue) = self.0.state.borrow().client_connections.queue_of(no) else { return };
         let mut reader = ClientReader { instance: self.clone(), no };
         let end = serve(&line, &queue, &self.0.pool, &mut reader).await;
-        if !matches!(end, End::Closed | End::Ours) {
+        if !matches!(end, CloseReason::Closed | CloseReason::ClosedHere) {
             self.0.state.borrow_mut().counters.lost_connections += 1;
         }
-        let in_order = end == End::Ours
-            && queue.finished()
+        let in_order = end == CloseReason::ClosedHere
+            && queue.is_finished()
             && self.0.closing_connections.get() < MAX_CLOSING_CONNECTIONS;
         // Nothing more can be written on this connection: releases go out on others from here on.
         drop(guard);
         if in_order {
             self.0.closing_connections.set(self.0.closing_connections.get() + 1);
-            part(&line, &self.0.pool, &mut reader).await;
+            close_gracefully(&line, &self.0.pool, &mut reader).await;
             self.0.closing_connections.set(self.0.closing_connections.get() - 1);
         }
     }
@@ -219,11 +224,11 @@
         let now = self.0.clock.now();
         match jsonl::parse(bytes) {
             Ok(Message::Open(set_up)) => self.apply(|state, todo| {
-                state.client_connections.owes(no, now);
+                state.client_connections.set_up_received(no, now);
                 todo.inputs.push(Input::SetUp(client, set_up));
             }),
             Ok(Message::Close(sid, cause)) => self.apply(|state, todo| {
-                state.client_connections.heard(no, now);
+                state.client_connections.message_received(no, now);
                 todo.inputs.push(Input::HangUp(client, sid, cause));
             }),
             Ok(Message::Closed(sid)) => self.input(Input::ReleaseConfirmed(sid)),
@@ -236,15 +241,15 @@
             Err(error) => self.apply(|state, todo| {
                 state.counters.malformed_lines += 1;
                 let answerable = match &error {
-                    LineError::Lacks(sid, _) => {
+                    LineError::InvalidField(sid, _) => {
                         let line = jsonl::close(*sid, jsonl::CAUSE_INVALID, Span::default());
                         // The refusal must not be taken for the answer to a pending call of the same id.
                         !state.core.awaits_answer(*sid) && state.client_connections.write(no, line)
                     }
-                    LineError::Form(_) | LineError::Name => false,
+                    LineError::Malformed(_) | LineError::InvalidCallId => false,
                 };
-                if let Some(at) = state.client_connections.offends(no, answerable, now) {
-                    todo.dues.push((at, DeadlineOwner::ClientConnections, no));
+                if let Some(at) = state.client_connections.malformed_received(no, answerable, now) {
+                    todo.deadlines.push((at, DeadlineOwner::ClientConnections, no));
                 }
             }),
         }
@@ -270,8 +275,8 @@
     no: u64,
 }
 
-impl Reader for ClientReader {
-    fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
+impl MessageReader for ClientReader {
+    fn read(&mut self, bytes: &[u8]) -> Result<usize, MalformedInput> {
         let mut used = 0;
         let ending = || self.instance.0.state.borrow().client_connections.is_ending(self.no);
         while let Some(length) = bytes[used..].iter().position(|byte| *byte == b'\n') {
@@ -283,16 +288,16 @@
                 false => self.instance.handle_line(self.no, line),
             }
         }
-        if bytes.len() - used > MESSAGE {
+        if bytes.len() - used > MAX_MESSAGE_BYTES {
             if ending() {
                 return Ok(bytes.len()); // no release is this long
             }
             self.instance.0.state.borrow_mut().counters.malformed_lines += 1;
-            return Err(Unreadable);
+            return Err(MalformedInput);
         }
         Ok(used)
     }
-    fn ended(&mut self) -> bool {
+    fn end_of_stream(&mut self) -> bool {
         let now = self.instance.0.clock.now();
         let mut more = false;
         self.instance.apply(|state, todo| {
@@ -301,7 +306,7 @@
         });
         more
     }
-    fn patience(&self) -> Duration {
+    fn message_timeout(&self) -> Duration {
         MESSAGE_TIMEOUT
     }
 }
--- a/src/instance/directories.rs
+++ b/src/instance/directories.rs
@@ -7,7 +7,7 @@
 
 use crate::config::{DnsSdConfig, InstanceConfig};
 use crate::core::{Input, Source};
-use crate::directory::bulletin::{self, BulletinError, Page, Spoilt};
+use crate::directory::bulletin::{self, BulletinError, MalformedEvents, Page};
 use crate::directory::dns_sd::{self, DnsError};
 use crate::instance::Instance;
 
@@ -33,7 +33,7 @@
     /// Follows the directories of the latest configuration; never returns. Guards against updates lost on a change of
     /// the bulletin: event numbers continue, so the new one is asked for the events after the last one taken.
     pub(super) async fn follow(self, mut directories: watch::Receiver<DirectoryConfig>) {
-        let mut watch = dns_sd::Watch::default();
+        let mut watch = dns_sd::ServiceState::default();
         loop {
             let current = directories.borrow_and_update().clone();
             tokio::select! {
@@ -56,18 +56,18 @@
                 self.report_recovery(party);
                 Ok(())
             }
-            Some(spoilt) => Err(BulletinError::Spoilt(spoilt)),
+            Some(spoilt) => Err(BulletinError::Malformed(spoilt)),
         };
         bulletin::follow(address, &self.0.bulletin_cursor, &config.zones, take, failed).await;
     }
 
-    async fn follow_dns_sd(&self, config: &DirectoryConfig, watch: &mut dns_sd::Watch) {
+    async fn follow_dns_sd(&self, config: &DirectoryConfig, watch: &mut dns_sd::ServiceState) {
         let take = |hosts| {
             let list = Input::List { source: Source::DnsSd, whole: true, hosts };
             self.apply_guarded(|_, todo| todo.inputs.push(list));
         };
         let Some(dns) = &config.dns_sd else {
-            if watch.ends() {
+            if watch.stop() {
                 take(Vec::new());
             }
             return std::future::pending().await;
@@ -85,10 +85,10 @@
 
     /// Takes the events of a bulletin page after the last one taken. Returns an unreadable event that is to be
     /// requested again.
-    pub(super) fn take_bulletin_page(&self, page: Page) -> Option<Spoilt> {
+    pub(super) fn take_bulletin_page(&self, page: Page) -> Option<MalformedEvents> {
         let taken = self.0.bulletin_cursor.borrow_mut().take(page);
-        let passed_over = taken.spoilt.as_ref().and_then(|spoilt| spoilt.passed_over);
-        if let Some(spoilt) = taken.spoilt.as_ref().filter(|spoilt| spoilt.passed_over.is_some()) {
+        let skipped = taken.malformed.as_ref().and_then(|spoilt| spoilt.skipped);
+        if let Some(spoilt) = taken.malformed.as_ref().filter(|spoilt| spoilt.skipped.is_some()) {
             let instance = self.name();
             tracing::warn!(
                 instance, party = "bulletin", why = %spoilt,
@@ -96,7 +96,7 @@
             );
         }
         self.apply_guarded(|state, todo| {
-            state.counters.malformed_bulletin += passed_over.unwrap_or(0);
+            state.counters.malformed_bulletin += skipped.unwrap_or(0);
             let updates = taken.changes.into_iter().map(|change| Input::List {
                 source: Source::Bulletin,
                 whole: change.whole,
@@ -104,6 +104,6 @@
             });
             todo.inputs.extend(updates);
         });
-        taken.spoilt.filter(|spoilt| spoilt.passed_over.is_none())
+        taken.malformed.filter(|spoilt| spoilt.skipped.is_none())
     }
 }
--- a/src/instance/handover.rs
+++ b/src/instance/handover.rs
@@ -22,8 +22,8 @@
 use crate::drain::{Drain, Phase};
 use crate::instance::{Instance, State};
 use crate::interface::Time;
-use crate::net::conn::Line;
-use crate::net::guests::Guests;
+use crate::net::client_connections::ClientConnections;
+use crate::net::conn::Connection;
 use crate::takeover::{FrameKind, TakeoverChannel, TakeoverError};
 use crate::upstream::sip::Trunks;
 
@@ -65,7 +65,7 @@
     drain: Drain,
     core: &'a Core,
     #[serde(rename = "guests")]
-    client_connections: &'a Guests,
+    client_connections: &'a ClientConnections,
     sip: &'a Trunks,
     sockets: Vec<SocketKind>,
 }
@@ -84,7 +84,7 @@
     drain: Drain,
     core: Core,
     #[serde(rename = "guests")]
-    client_connections: Guests,
+    client_connections: ClientConnections,
     sip: Trunks,
     sockets: Vec<SocketKind>,
 }
@@ -167,8 +167,8 @@
 /// Work left until the event loop runs: connections to serve, to make and to clean up.
 #[derive(Default)]
 pub(super) struct PendingConnections {
-    callers: Vec<(u64, Rc<Line>)>,
-    servers: Vec<(u64, Rc<Line>)>,
+    callers: Vec<(u64, Rc<Connection>)>,
+    servers: Vec<(u64, Rc<Connection>)>,
     to_connect: Vec<(u64, SocketAddr)>,
     lost: Vec<(Side, u64)>,
 }
@@ -205,7 +205,7 @@
             .filter(|no| !connections.contains_key(&(Side::Caller, *no)));
         pending.lost.extend(without_socket.map(|no| (Side::Caller, no)));
         for ((side, no), (stream, read)) in connections {
-            let Some(line) = Line::resumed(stream, &read, &self.0.pool).map(Rc::new) else {
+            let Some(line) = Connection::resume(stream, &read, &self.0.pool).map(Rc::new) else {
                 pending.lost.push((side, no));
                 continue;
             };
@@ -241,7 +241,7 @@
         for (no, line) in pending.servers {
             tokio::task::spawn_local(self.clone().resume_link(no, line));
         }
-        self.apply(|_, todo| todo.links = pending.to_connect);
+        self.apply(|_, todo| todo.connects = pending.to_connect);
     }
 
     /// Waits for successors and returns once one has taken over. Must be polled by the future that runs the
@@ -325,7 +325,7 @@
             add(SocketKind::Peers, peers.as_fd());
         }
         for ((side, no), line) in &state.connections {
-            add(SocketKind::Connection(*side, *no, line.read_so_far().into()), line.stream().as_fd());
+            add(SocketKind::Connection(*side, *no, line.partial_message().into()), line.stream().as_fd());
         }
         let directories = self.0.directories.borrow();
         let transferred = TakeoverStateRef {
--- a/src/instance/links.rs
+++ b/src/instance/links.rs
@@ -10,7 +10,7 @@
 
 use crate::instance::handover::Side;
 use crate::instance::Instance;
-use crate::net::conn::{serve, End, Line, Reader, Unreadable};
+use crate::net::conn::{serve, CloseReason, Connection, MalformedInput, MessageReader};
 use crate::net::queue::WriteQueue;
 use crate::upstream::sip::message::{parse, SipError};
 use crate::upstream::sip::LinkEnd;
@@ -26,26 +26,27 @@
     pub(super) async fn link(self, no: u64, address: SocketAddr) {
         let Some(queue) = self.0.state.borrow().sip.queue_of(no) else { return };
         // Guards against a stale entry after a panic in reading the connection's bytes.
-        let guard = LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Ended(End::Unreadable)) };
+        let guard =
+            LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Closed(CloseReason::Malformed)) };
         let connect = tokio::time::timeout(self.0.connect_timeout.get(), TcpStream::connect(address));
         let connected = tokio::select! {
             made = connect => match made {
                 Ok(Ok(stream)) => Ok(stream),
                 Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => Err(LinkEnd::Refused),
-                Ok(Err(_)) | Err(_) => Err(LinkEnd::NotMade),
+                Ok(Err(_)) | Err(_) => Err(LinkEnd::ConnectFailed),
             },
-            _ = aborted(&queue) => Err(LinkEnd::Ended(End::Ours)),
+            _ = aborted(&queue) => Err(LinkEnd::Closed(CloseReason::ClosedHere)),
         };
         let party = ("call server", address);
         match &connected {
             Ok(_) => self.report_recovery(party),
             Err(LinkEnd::Refused) => self.report_failure(party, &"connection refused"),
-            Err(LinkEnd::NotMade) => self.report_failure(party, &"no connection established"),
-            Err(LinkEnd::Ended(_)) => {}
+            Err(LinkEnd::ConnectFailed) => self.report_failure(party, &"no connection established"),
+            Err(LinkEnd::Closed(_)) => {}
         }
         let end = match connected {
             Ok(stream) => {
-                let (line, now) = (Rc::new(Line::new(stream)), self.0.clock.now());
+                let (line, now) = (Rc::new(Connection::new(stream)), self.0.clock.now());
                 self.apply(|state, todo| {
                     state.connections.insert((Side::Server, no), line.clone());
                     state.sip.link_up(no, now, todo);
@@ -57,26 +58,27 @@
         guard.end.set(end);
     }
 
-    async fn serve_link(&self, no: u64, line: &Line, queue: &WriteQueue) -> LinkEnd {
+    async fn serve_link(&self, no: u64, line: &Connection, queue: &WriteQueue) -> LinkEnd {
         let mut reader = LinkReader { instance: self.clone(), no };
-        LinkEnd::Ended(serve(line, queue, &self.0.pool, &mut reader).await)
+        LinkEnd::Closed(serve(line, queue, &self.0.pool, &mut reader).await)
     }
 
     /// Serves a connection to a call server that was taken over from the predecessor.
-    pub(super) async fn resume_link(self, no: u64, line: Rc<Line>) {
+    pub(super) async fn resume_link(self, no: u64, line: Rc<Connection>) {
         let Some(queue) = self.0.state.borrow().sip.queue_of(no) else { return };
-        let guard = LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Ended(End::Unreadable)) };
+        let guard =
+            LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Closed(CloseReason::Malformed)) };
         guard.end.set(self.serve_link(no, &line, &queue).await);
     }
 
     /// Removes a connection to a call server whose socket could not be taken over.
     pub(super) fn link_lost(&self, no: u64) {
-        drop(LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Ended(End::Reset)) });
+        drop(LinkGuard { instance: self.clone(), no, end: Cell::new(LinkEnd::Closed(CloseReason::Reset)) });
     }
 }
 
 async fn aborted(queue: &WriteQueue) {
-    while !queue.ends() {
+    while !queue.is_closing() {
         queue.changed().await;
     }
 }
@@ -105,8 +107,8 @@
     no: u64,
 }
 
-impl Reader for LinkReader {
-    fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
+impl MessageReader for LinkReader {
+    fn read(&mut self, bytes: &[u8]) -> Result<usize, MalformedInput> {
         let mut used = 0;
         loop {
             // Empty lines between messages are keep-alives.
@@ -119,8 +121,8 @@
                     let now = self.instance.0.clock.now();
                     let mut address = None;
                     self.instance.apply(|state, todo| {
-                        state.sip.message(self.no, &message, now, todo);
-                        address = state.sip.dial_of(self.no);
+                        state.sip.handle_message(self.no, &message, now, todo);
+                        address = state.sip.address_of(self.no);
                     });
                     if let Some(address) = address {
                         self.instance.report_recovery((MESSAGES_PARTY, address));
@@ -132,20 +134,20 @@
                     let address = {
                         let mut state = self.instance.0.state.borrow_mut();
                         state.counters.malformed_sip += 1;
-                        state.sip.dial_of(self.no)
+                        state.sip.address_of(self.no)
                     };
                     if let Some(address) = address {
                         self.instance.report_failure((MESSAGES_PARTY, address), &error);
                     }
-                    return Err(Unreadable);
+                    return Err(MalformedInput);
                 }
             }
         }
     }
-    fn ended(&mut self) -> bool {
+    fn end_of_stream(&mut self) -> bool {
         false
     }
-    fn patience(&self) -> Duration {
+    fn message_timeout(&self) -> Duration {
         MESSAGE_TIMEOUT
     }
 }
--- a/src/instance/operators.rs
+++ b/src/instance/operators.rs
@@ -76,7 +76,7 @@
                 return;
             }
             state.core.refuse_set_ups_from(state.drain.refuses_set_ups_from());
-            todo.dues.extend(
+            todo.deadlines.extend(
                 state
                     .client_connections
                     .numbers()
@@ -136,7 +136,7 @@
 
     /// Gauges of the core, and the number of set-ups sent to call servers.
     pub(super) fn gauges(&self, state: &State) -> Gauges {
-        let written = self.0.server_bytes.set_ups_left() + state.iax2_servers.counts.news;
+        let written = self.0.server_bytes.set_ups_written() + state.iax2_servers.counts.new_frames;
         Gauges { upstream_requests: written, ..state.core.gauges(self.0.clock.now()) }
     }
 }
--- a/src/instance/reload.rs
+++ b/src/instance/reload.rs
@@ -8,11 +8,11 @@
 use crate::instance::startup::random;
 use crate::instance::{Instance, State};
 use crate::interface::{Span, Time};
-use crate::upstream::Todo;
+use crate::upstream::AdapterOutput;
 
 impl State {
     /// Registers at the configuration's IAX2 registrars.
-    pub(super) fn register(&mut self, config: &InstanceConfig, now: Time, todo: &mut Todo) {
+    pub(super) fn register(&mut self, config: &InstanceConfig, now: Time, todo: &mut AdapterOutput) {
         let at = config.iax2.as_ref().map(|iax2| iax2.register.as_slice()).unwrap_or_default();
         self.iax2_front.register_at(config.secrets.account.as_ref(), at, now, todo);
     }
@@ -46,7 +46,7 @@
                 // Settings change as a whole or not at all. Guards against calls served by the classes of one file
                 // and the zones, times and limits of another: values that belong to the settings stay with them.
                 config.zones = self.0.directories.borrow().zones.clone();
-                config.usual_left = state.iax2_front.usual_left();
+                config.usual_left = state.iax2_front.default_left();
                 config.known = Page::default(); // read with the other file's zones; the bulletin provides it too
                 config.connect_timeout = span_of(self.0.connect_timeout.get());
             }
@@ -75,13 +75,13 @@
             let iax2 = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds));
             let (tokens, bounds) = iax2.unwrap_or_default();
             state.iax2_front.reconfigure(config.usual_left, &config.zones, tokens, bounds);
-            state.iax2_servers.introduce(config.secrets.account.as_ref());
+            state.iax2_servers.set_account(config.secrets.account.as_ref());
             match random() {
-                Ok(key) => state.iax2_front.examine(config.secrets.users.as_ref(), key),
+                Ok(key) => state.iax2_front.set_users(config.secrets.users.as_ref(), key),
                 Err(error) => tracing::error!(%error, "cannot load the IAX2 users; the previous ones stay"),
             }
             state.limit_client_connections(config.limits);
-            state.sip.set_most_links(config.limits.links());
+            state.sip.set_max_links(config.limits.links());
             state.counters.reloads += 1;
         }
         self.0.limits.set(config.limits);
@@ -91,9 +91,9 @@
             state.iax2_front.expire(now, todo);
             state.register(&config, now, todo);
         });
-        self.0.pool.set_most(config.limits.buffers());
-        self.0.caller_bytes.set_most(config.limits.eighth());
-        self.0.server_bytes.set_most(config.limits.eighth());
+        self.0.pool.set_max(config.limits.buffers());
+        self.0.caller_bytes.set_max(config.limits.eighth());
+        self.0.server_bytes.set_max(config.limits.eighth());
         // Events of the file after the last one taken come first: the bulletin continues their numbers.
         let known = config.known.clone();
         let _ = self.take_bulletin_page(known); // unreadable events are requested from the bulletin later
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,33 +1,33 @@
-//! Datagrams between the controllers of a tier.
+//! Datagrams between the controllers of a cluster.
 
 use std::net::SocketAddr;
 
 use tokio::net::UdpSocket;
 
-/// The longest datagram that may be sent to a peer.
-pub const LONGEST: usize = 256;
+/// Longest datagram to a peer.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Where the peers are.
+/// Addresses of the peers.
 #[derive(Debug, Clone, Default)]
 pub struct Peers {
-    /// By number.
-    pub each: Vec<SocketAddr>,
-    /// All of them at once.
-    pub all: Option<SocketAddr>,
+    /// Each peer's address, indexed by controller number.
+    pub addresses: Vec<SocketAddr>,
+    /// The address that reaches all peers at once.
+    pub broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Sends without waiting; what cannot be sent now is lost, as any datagram may be.
-    pub fn tell(&self, socket: &UdpSocket, to: Option<u16>, data: &[u8]) -> bool {
+    /// Sends without blocking, to one peer or (`None`) to all. A datagram that cannot be sent now is dropped.
+    pub fn send(&self, socket: &UdpSocket, to: Option<u16>, data: &[u8]) -> bool {
         let to = match to {
-            Some(no) => self.each.get(usize::from(no)).copied(),
-            None => self.all,
+            Some(no) => self.addresses.get(usize::from(no)).copied(),
+            None => self.broadcast,
         };
-        data.len() <= LONGEST && to.is_some_and(|to| socket.try_send_to(data, to).is_ok())
+        data.len() <= MAX_DATAGRAM_BYTES && to.is_some_and(|to| socket.try_send_to(data, to).is_ok())
     }
 
     /// The number of the peer at this address.
     pub fn number_of(&self, from: SocketAddr) -> Option<u16> {
-        self.each.iter().position(|peer| *peer == from).and_then(|at| u16::try_from(at).ok())
+        self.addresses.iter().position(|peer| *peer == from).and_then(|at| u16::try_from(at).ok())
     }
 }
