--- a/crates/lockpoint-lab/src/fleet/processes.rs
+++ b/crates/lockpoint-lab/src/fleet/processes.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lockpoint::control::{ask, Command, Reply, Request};
+use lockpoint::control::{send_request, Command, Reply, Request};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 
@@ -85,7 +85,7 @@
     /// Its figures by name, without their common beginning; none where it does not answer.
     pub async fn figures(&self) -> BTreeMap<String, u64> {
         let request = Request { command: Command::Info, instance: None };
-        let Ok(Reply::Called { instances }) = ask(&self.control, &request).await else {
+        let Ok(Reply::ConsoleAnswers { instances }) = send_request(&self.control, &request).await else {
             return BTreeMap::new();
         };
         let lines = instances.iter().flat_map(|called| called.answer.lines());
--- a/crates/lockpoint-lab/src/under_test.rs
+++ b/crates/lockpoint-lab/src/under_test.rs
@@ -6,7 +6,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use lockpoint::control::{ask, Command, InstanceStatus, Reply, Request};
+use lockpoint::control::{send_request, Command, InstanceStatus, Reply, Request};
 use lockpoint::counters::Counters;
 use tokio::process::Child;
 
@@ -136,7 +136,7 @@
 
     async fn ask(&self, command: Command) -> Result<Reply, LabError> {
         let request = Request { command, instance: None };
-        ask(&self.control, &request).await.map_err(|e| LabError::Serves(e.to_string()))
+        send_request(&self.control, &request).await.map_err(|e| LabError::Serves(e.to_string()))
     }
 
     /// Its instances, once `ready` says so of all of them.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -15,7 +15,7 @@
 use crate::config::{self, ConfigError, InstanceConfig};
 use crate::console;
 use crate::control::replication::ChangeId;
-use crate::control::{self, Called, Command, Reply, Request};
+use crate::control::{self, Command, ConsoleAnswer, Reply, Request};
 use crate::instance::{Before, Bound, Instance};
 use crate::logs::{self, LogConfig};
 use crate::signals::{self, Caught};
@@ -250,7 +250,7 @@
         Ok(log) => log,
         Err(why) => return complain(BAD_CONFIG, &why),
     };
-    let before = match takeover_folder(&config, std::env::var_os("TMPDIR")) {
+    let before = match takeover_directory(&config, std::env::var_os("TMPDIR")) {
         Some(dir) => Before::at(takeover::place(&dir, &config.name)),
         None => Before::nobody(),
     };
@@ -271,8 +271,8 @@
 /// Where predecessor and successor meet, if one may come: only where the platform holds the callers' listener
 /// (`$ROUTER_FD`) and both share `$TMPDIR`. Elsewhere a restart begins from nothing, and no Unix socket is opened,
 /// since a platform that does not hand the listener on starts no successor beside its predecessor.
-pub fn takeover_folder(config: &InstanceConfig, tmpdir: Option<std::ffi::OsString>) -> Option<PathBuf> {
-    config.inherited.and(tmpdir).map(PathBuf::from)
+pub fn takeover_directory(config: &InstanceConfig, tmpdir: Option<std::ffi::OsString>) -> Option<PathBuf> {
+    config.inherited_fd.and(tmpdir).map(PathBuf::from)
 }
 
 async fn agent(file: PathBuf) -> ExitCode {
@@ -331,7 +331,7 @@
     }
 }
 
-async fn ask_console(command: Command, console: SocketAddr) -> Result<Called, ExitCode> {
+async fn ask_console(command: Command, console: SocketAddr) -> Result<ConsoleAnswer, ExitCode> {
     let what = match command {
         Command::Info => console::Call::Info,
         Command::Lameduck => console::Call::Lameduck,
@@ -341,7 +341,7 @@
     let answer = console::ask(console, what).await;
     let answer =
         answer.map_err(|error| complain(NO_AGENT, &format!("no console answers at {console}: {error}")))?;
-    Ok(Called { name: console.to_string(), answer })
+    Ok(ConsoleAnswer { name: console.to_string(), answer })
 }
 
 /// Looks into records.
@@ -381,8 +381,8 @@
         Some(console) => ask_console(Command::Info, console).await.map(|called| vec![called]),
         None => {
             let request = Request { command: Command::Info, instance: call.ask.instance };
-            match control::ask(&call.ask.control, &request).await {
-                Ok(Reply::Called { instances }) => Ok(instances),
+            match control::send_request(&call.ask.control, &request).await {
+                Ok(Reply::ConsoleAnswers { instances }) => Ok(instances),
                 Ok(Reply::Error { why }) => Err(complain(FAILED, &why)),
                 Ok(other) => Err(complain(FAILED, &format!("the agent answered {other:?}"))),
                 Err(error) => Err(complain(NO_AGENT, &error.to_string())),
@@ -402,7 +402,7 @@
 }
 
 /// Prints what controllers answered to a call; one that said no makes the tool say so.
-fn shown(answers: &[Called], json: bool) -> ExitCode {
+fn shown(answers: &[ConsoleAnswer], json: bool) -> ExitCode {
     if json {
         println!("{}", serde_json::to_string(answers).unwrap_or_default());
     } else {
@@ -418,14 +418,14 @@
 
 async fn put(command: Command, ask: Ask) -> ExitCode {
     let request = Request { command, instance: ask.instance };
-    let reply = match control::ask(&ask.control, &request).await {
+    let reply = match control::send_request(&ask.control, &request).await {
         Ok(reply) => reply,
         Err(error) => return complain(NO_AGENT, &error.to_string()),
     };
     if let Reply::Error { why } = &reply {
         return complain(FAILED, why);
     }
-    if let Reply::Called { instances } = &reply {
+    if let Reply::ConsoleAnswers { instances } = &reply {
         return shown(instances, ask.json);
     }
     if ask.json {
@@ -446,7 +446,7 @@
             }
         }
         Reply::Stats { instances } => instances.iter().for_each(|i| println!("{}", control::stats_line(i))),
-        Reply::Called { .. } | Reply::Error { .. } => {}
+        Reply::ConsoleAnswers { .. } | Reply::Error { .. } => {}
     }
     ExitCode::SUCCESS
 }
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -6,7 +6,7 @@
 
 use serde::Serialize;
 
-use crate::control::Called;
+use crate::control::ConsoleAnswer;
 
 /// Credit figures count 1/256 of a permit.
 const PARTS_PER_PERMIT: f64 = 256.0;
@@ -58,7 +58,7 @@
 }
 
 /// Reads the fleet figures out of a controller's answer.
-pub fn read(called: &Called) -> Limits {
+pub fn read(called: &ConsoleAnswer) -> Limits {
     let figure = |line: &str| {
         let (name, rest) = line.strip_prefix("controller.fleet.")?.rsplit_once(':')?;
         Some((name.to_owned(), rest.split('|').next()?.parse::<u64>().ok()?))
--- a/src/cli/replication.rs
+++ b/src/cli/replication.rs
@@ -10,8 +10,8 @@
 
 use super::{complain, BAD_CONFIG, FAILED, NO_AGENT};
 use crate::control::replication::{
-    ask_replication, AcknowledgedView, ChangeId, ConfigView, MemberView, Operation, ReplicationReply,
-    ReplicationRequest,
+    send_replication_request, AcknowledgedView, ChangeId, ConfigView, MemberView, Operation,
+    ReplicationReply, ReplicationRequest,
 };
 
 /// How often a source is asked how far a change has come.
@@ -105,7 +105,7 @@
 
 async fn ask(target: &Target, operation: Operation) -> Result<ReplicationReply, ExitCode> {
     let request = ReplicationRequest { replication: operation, instance: target.instance.clone() };
-    let reply = ask_replication(&target.control, &request).await;
+    let reply = send_replication_request(&target.control, &request).await;
     reply.map_err(|error| complain(NO_AGENT, &error.to_string()))
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -60,7 +60,7 @@
     /// Where JSON-lines callers connect.
     pub listen: Option<SocketAddr>,
     /// The descriptor of a listening socket that the platform holds.
-    pub inherited: Option<i32>,
+    pub inherited_fd: Option<i32>,
     /// Where operators call.
     pub console: Option<SocketAddr>,
     /// Where datagrams of peers arrive.
@@ -76,11 +76,11 @@
     /// The bulletin.
     pub bulletin: Option<SocketAddr>,
     /// Events of the bulletin so far.
-    pub known: Page,
+    pub initial_page: Page,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// How long a caller waits who does not say so.
-    pub usual_left: Span,
+    pub default_caller_wait: Span,
     /// What it may use.
     pub limits: Limits,
     /// Where what a later life needs is kept; `None`: nowhere, as on the platform, whose disk does not last.
@@ -103,14 +103,14 @@
         let extras = extras_of(&settings)?;
         let left = self.iax2.as_ref().and_then(|iax2| iax2.left_ms).map(Span::from_millis);
         Ok(InstanceConfig {
-            usual_left: left.unwrap_or(extras.longest),
+            default_caller_wait: left.unwrap_or(extras.longest),
             zones: extras.zones,
             connect_timeout: extras.connect_timeout,
             core: CoreConfig {
                 settings: parsed,
                 classes: extras.classes,
                 tenants: extras.tenants,
-                max_pending_calls: self.limits.calls(extras.most_held),
+                max_pending_calls: self.limits.pending_calls(extras.most_held),
                 max_caller_wait: extras.longest,
                 ..self.core.clone()
             },
@@ -183,7 +183,7 @@
 
 impl Iax2Config {
     /// IAX2 at these addresses, all else as usual.
-    pub fn at(listen: SocketAddr, from: SocketAddr) -> Iax2Config {
+    pub fn new(listen: SocketAddr, from: SocketAddr) -> Iax2Config {
         let (tokens, bounds) = (TokenPolicy::default(), Bounds::default());
         Iax2Config {
             listen,
@@ -400,38 +400,38 @@
         Limits { sockets: self.sockets / 2, memory_mb: self.memory_mb / 2 }
     }
     /// Connections to call servers beyond one for each.
-    pub fn links(&self) -> usize {
-        (self.rest() - self.operators().min(self.rest())) / 2
+    pub fn extra_server_connections(&self) -> usize {
+        (self.rest() - self.console_connections().min(self.rest())) / 2
     }
     /// Callers' connections; the rest is for call servers, directories and the program itself.
-    pub fn callers(&self) -> usize {
+    pub fn client_connections(&self) -> usize {
         self.sockets.saturating_sub((self.sockets / 4).clamp(8, 128)).max(8)
     }
     /// The same beside so many call servers that are listed, to each of which a connection is kept up.
-    pub fn callers_beside(&self, servers: usize) -> usize {
-        let others = OWN_DESCRIPTORS + self.operators() + self.links() + servers;
-        self.callers().min(self.sockets.saturating_sub(others)).max(8)
+    pub fn client_connections_beside(&self, servers: usize) -> usize {
+        let others = OWN_DESCRIPTORS + self.console_connections() + self.extra_server_connections() + servers;
+        self.client_connections().min(self.sockets.saturating_sub(others)).max(8)
     }
     /// Operators' calls at once, out of the descriptors that callers do not get.
-    pub fn operators(&self) -> usize {
+    pub fn console_connections(&self) -> usize {
         (self.rest() / 4).max(2)
     }
     fn rest(&self) -> usize {
-        self.sockets - self.callers().min(self.sockets)
+        self.sockets - self.client_connections().min(self.sockets)
     }
     /// An eighth of the memory, in bytes: for the buffers that are read into, for descriptions of open calls, for what
     /// waits to be written to callers, and for what waits to be written to call servers.
-    pub fn eighth(&self) -> usize {
+    pub fn memory_share(&self) -> usize {
         self.memory_mb.clamp(8, 4_096) * (1 << 20) / 8
     }
     /// Buffers that may be lent at once.
     pub fn buffers(&self) -> usize {
-        self.eighth() / BUFFER
+        self.memory_share() / BUFFER
     }
     /// Calls that may be owed an answer at once, at most as many as the settings say: about a KB each, descriptions
     /// not counted.
-    pub fn calls(&self, most_held: usize) -> usize {
-        most_held.min(self.eighth() / 1_024).max(1)
+    pub fn pending_calls(&self, most_held: usize) -> usize {
+        most_held.min(self.memory_share() / 1_024).max(1)
     }
 }
 
@@ -461,12 +461,12 @@
         let why = format!("'{descriptor}' is no descriptor");
         let usable = descriptor.parse().ok().filter(|d| *d > 2);
         let wrong = ConfigError::Key { file: file.clone(), key: "ROUTER_FD".to_owned(), why };
-        config.inherited = Some(usable.ok_or(wrong)?);
+        config.inherited_fd = Some(usable.ok_or(wrong)?);
         config.limits = config.limits.shared();
-        config.core.max_pending_calls = config.limits.calls(config.core.max_pending_calls);
-        config.core.max_pending_bytes = config.limits.eighth();
+        config.core.max_pending_calls = config.limits.pending_calls(config.core.max_pending_calls);
+        config.core.max_pending_bytes = config.limits.memory_share();
     }
-    if config.listen.is_none() && config.inherited.is_none() {
+    if config.listen.is_none() && config.inherited_fd.is_none() {
         return Err(ConfigError::NotSet("ROUTER_LISTEN"));
     }
     Ok(config)
@@ -494,16 +494,16 @@
     Ok(InstanceConfig {
         name: form.name.unwrap_or_else(|| "lockpoint".to_owned()),
         listen: form.listen,
-        inherited: None,
+        inherited_fd: None,
         console: form.console,
         peer_listen: form.peer_listen,
         peers: Peers { each: form.peers, all: form.peers_all },
         iax2: None,
         secrets: Iax2Secrets::default(),
         dns_sd: None,
-        usual_left: extras.longest,
+        default_caller_wait: extras.longest,
         bulletin: Some(form.bulletin),
-        known,
+        initial_page: known,
         zones: extras.zones,
         limits: form.limits,
         store: None,
@@ -512,8 +512,8 @@
             settings,
             classes: extras.classes,
             tenants: extras.tenants,
-            max_pending_calls: form.limits.calls(extras.most_held),
-            max_pending_bytes: form.limits.eighth(),
+            max_pending_calls: form.limits.pending_calls(extras.most_held),
+            max_pending_bytes: form.limits.memory_share(),
             max_caller_wait: extras.longest,
             seed: seed.transpose()?.unwrap_or(1),
             fleet: None,
@@ -643,7 +643,7 @@
             me: self.me,
             controllers,
             incarnation,
-            seed: any_seed(),
+            seed: random_seed(),
             fanout,
             max_bytes_per_second,
             max_age,
@@ -722,16 +722,16 @@
     Ok(InstanceConfig {
         name: form.name,
         listen: form.listen,
-        inherited: None,
+        inherited_fd: None,
         console: form.console,
         peer_listen: form.fleet.as_ref().map(|fleet| fleet.listen),
         peers: Peers { each: form.fleet.map(|fleet| fleet.peers).unwrap_or_default(), all: None },
         secrets,
         iax2: form.iax2,
         dns_sd: form.dns_sd,
-        usual_left: left.unwrap_or(extras.longest),
+        default_caller_wait: left.unwrap_or(extras.longest),
         bulletin: form.bulletin,
-        known: Page::default(),
+        initial_page: Page::default(),
         zones: extras.zones,
         limits: form.limits,
         store,
@@ -740,10 +740,10 @@
             settings,
             classes: extras.classes,
             tenants: extras.tenants,
-            max_pending_calls: form.limits.calls(extras.most_held),
-            max_pending_bytes: form.limits.eighth(),
+            max_pending_calls: form.limits.pending_calls(extras.most_held),
+            max_pending_bytes: form.limits.memory_share(),
             max_caller_wait: extras.longest,
-            seed: form.seed.unwrap_or_else(any_seed),
+            seed: form.seed.unwrap_or_else(random_seed),
             fleet,
         },
         replication,
@@ -752,7 +752,7 @@
 }
 
 /// A seed that differs from start to start, for instances whose file names none.
-pub(crate) fn any_seed() -> u64 {
+pub(crate) fn random_seed() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish()
 }
--- a/src/config/overlay.rs
+++ b/src/config/overlay.rs
@@ -54,16 +54,16 @@
 pub enum OverlayError {
     /// The key is of no known form.
     #[error("'{0}': a key is all/PATH or service/SERVICE/PATH")]
-    Key(String),
+    InvalidKey(String),
     /// No setting has this path.
     #[error("'{0}': there is no such setting")]
-    Path(String),
+    UnknownSetting(String),
     /// Calls under way go by the places in these lists.
     #[error("'{0}': a running controller cannot take other lists of classes, customers or zones")]
-    Fixed(String),
+    FixedSetting(String),
     /// A list has no row of this name.
     #[error("'{key}': '{list}' has no row named '{row}'")]
-    Row {
+    UnknownRow {
         /// The key.
         key: String,
         /// The list.
@@ -73,7 +73,7 @@
     },
     /// The value is no JSON.
     #[error("'{key}': no JSON: {why}")]
-    Json {
+    InvalidJson {
         /// The key.
         key: String,
         /// Why.
@@ -81,7 +81,7 @@
     },
     /// The value does not pass the checks of the settings.
     #[error("'{key}': {why}")]
-    Value {
+    InvalidValue {
         /// The key.
         key: String,
         /// Why.
@@ -112,15 +112,15 @@
             None => {
                 let rest = text.strip_prefix(SERVICE_PREFIX).and_then(|rest| rest.split_once('/'));
                 let Some((service, path)) = rest.filter(|(service, _)| !service.is_empty()) else {
-                    return Err(OverlayError::Key(text.to_owned()));
+                    return Err(OverlayError::InvalidKey(text.to_owned()));
                 };
                 (Some(service), path)
             }
         };
         if is_fixed(path) {
-            return Err(OverlayError::Fixed(text.to_owned()));
+            return Err(OverlayError::FixedSetting(text.to_owned()));
         }
-        let path = Path::parse(path).ok_or_else(|| OverlayError::Path(text.to_owned()))?;
+        let path = Path::parse(path).ok_or_else(|| OverlayError::UnknownSetting(text.to_owned()))?;
         Ok(Key { text, service, path })
     }
 }
@@ -158,7 +158,7 @@
             let named = |entry: &&mut Value| entry.get("name").and_then(Value::as_str) == Some(row);
             let Some(entry) = rows.and_then(|rows| rows.iter_mut().find(named)) else {
                 let (key, list, row) = (key.text.to_owned(), list.to_owned(), row.to_owned());
-                return Err(OverlayError::Row { key, list, row });
+                return Err(OverlayError::UnknownRow { key, list, row });
             };
             entry[setting] = value;
         }
@@ -176,7 +176,8 @@
 }
 
 fn json_of(key: &str, value: &[u8]) -> Result<Value, OverlayError> {
-    serde_json::from_slice(value).map_err(|e| OverlayError::Json { key: key.to_owned(), why: e.to_string() })
+    serde_json::from_slice(value)
+        .map_err(|e| OverlayError::InvalidJson { key: key.to_owned(), why: e.to_string() })
 }
 
 /// An instance's configuration as its file says it, and its service.
@@ -210,7 +211,9 @@
         let mut settings = self.file.settings.clone();
         match lay(&mut settings, key, value.clone()) {
             // Another service may have other rows.
-            Err(OverlayError::Row { .. }) if key.service.is_some_and(|service| service != self.service) => {
+            Err(OverlayError::UnknownRow { .. })
+                if key.service.is_some_and(|service| service != self.service) =>
+            {
                 return Ok(())
             }
             laid => laid?,
@@ -219,7 +222,7 @@
     }
 
     fn check_value(&self, key: Key<'_>, value: &Value, settings: Value) -> Result<(), OverlayError> {
-        let wrong = |why: String| Err(OverlayError::Value { key: key.text.to_owned(), why });
+        let wrong = |why: String| Err(OverlayError::InvalidValue { key: key.text.to_owned(), why });
         if let Path::Plain(path) = key.path {
             if WHOLE_NUMBERS.contains(&path) && value.as_u64().is_none_or(|number| number == 0) {
                 return wrong(format!("{value} is no whole number above 0"));
@@ -233,7 +236,7 @@
 
     /// The configuration in force: the file's with these values laid over, those of the service last. Values that do
     /// not fit the file are left out and returned with the reason.
-    pub fn in_force<'a>(
+    pub fn effective_config<'a>(
         &self,
         values: impl Iterator<Item = (&'a str, &'a [u8])>,
     ) -> (InstanceConfig, Vec<OverlayError>) {
@@ -256,7 +259,7 @@
         match self.file.with_settings(settings) {
             Ok(config) => (config, left_out),
             Err((key, why)) => {
-                left_out.push(OverlayError::Value { key, why });
+                left_out.push(OverlayError::InvalidValue { key, why });
                 (self.file.clone(), left_out)
             }
         }
--- a/src/control.rs
+++ b/src/control.rs
@@ -24,7 +24,7 @@
 
 use replication::ReplicationRequest;
 
-pub use client::{ask, stats_line, AskError};
+pub use client::{send_request, stats_line, RequestError};
 
 /// The longest line taken.
 const LONGEST: u64 = 64 * 1024;
@@ -91,7 +91,7 @@
 /// What an instance answers to a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[allow(missing_docs)] // the names say it
-pub struct Called {
+pub struct ConsoleAnswer {
     pub name: String,
     /// As at its console: `SUCCESS` or `FAILURE` first.
     pub answer: String,
@@ -102,9 +102,10 @@
 #[serde(tag = "answer", rename_all = "lowercase")]
 pub enum Reply {
     /// To `ping`, `info`, `lameduck`, `drain` and `rejoin`: what the console of each would answer.
-    Called {
+    #[serde(rename = "called")]
+    ConsoleAnswers {
         /// The instances asked for, by name.
-        instances: Vec<Called>,
+        instances: Vec<ConsoleAnswer>,
     },
     /// To `status`, `reload` and `stop`.
     Status {
@@ -407,8 +408,8 @@
             true => Answer::Failure("it has stopped".to_owned()),
             false => r.instance.called(call),
         };
-        let answers = asked.map(|r| Called { name: r.name.clone(), answer: called(r).to_string() });
-        Reply::Called { instances: answers.collect() }
+        let answers = asked.map(|r| ConsoleAnswer { name: r.name.clone(), answer: called(r).to_string() });
+        Reply::ConsoleAnswers { instances: answers.collect() }
     }
 
     fn ask_to_stop(&self, wanted: Option<&str>) {
--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -13,7 +13,7 @@
 
 /// A control socket that does not answer.
 #[derive(Debug, thiserror::Error)]
-pub enum AskError {
+pub enum RequestError {
     /// Nobody is there.
     #[error("no agent answers at {}: {why}", path.display())]
     Nobody {
@@ -28,7 +28,7 @@
 }
 
 /// Asks the agent at this socket.
-pub async fn ask(path: &Path, request: &Request) -> Result<Reply, AskError> {
+pub async fn send_request(path: &Path, request: &Request) -> Result<Reply, RequestError> {
     exchange(path, request).await
 }
 
@@ -36,16 +36,16 @@
 pub(super) async fn exchange<Q: Serialize, A: DeserializeOwned>(
     path: &Path,
     request: &Q,
-) -> Result<A, AskError> {
-    let nobody = |why| AskError::Nobody { path: path.to_owned(), why };
+) -> Result<A, RequestError> {
+    let nobody = |why| RequestError::Nobody { path: path.to_owned(), why };
     let mut stream = UnixStream::connect(path).await.map_err(nobody)?;
-    let mut line = serde_json::to_string(request).map_err(|e| AskError::Answer(e.to_string()))?;
+    let mut line = serde_json::to_string(request).map_err(|e| RequestError::Answer(e.to_string()))?;
     line.push('\n');
     stream.write_all(line.as_bytes()).await.map_err(nobody)?;
     let mut text = String::new();
     let read = tokio::time::timeout(PATIENCE, stream.read_to_string(&mut text)).await;
-    read.map_err(|_| AskError::Answer("it did not come in time".to_owned()))?.map_err(nobody)?;
-    serde_json::from_str(&text).map_err(|e| AskError::Answer(e.to_string()))
+    read.map_err(|_| RequestError::Answer("it did not come in time".to_owned()))?.map_err(nobody)?;
+    serde_json::from_str(&text).map_err(|e| RequestError::Answer(e.to_string()))
 }
 
 /// The counters of an instance as one line of text.
--- a/src/control/replication.rs
+++ b/src/control/replication.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use super::client::exchange;
-use super::{Agent, AskError};
+use super::{Agent, RequestError};
 use crate::instance::Instance;
 use crate::replication::{Dot, Epoch, Replica, SourceId, Stamp, MEMBER_PREFIX};
 
@@ -223,10 +223,10 @@
 }
 
 /// Asks the agent at this socket.
-pub async fn ask_replication(
+pub async fn send_replication_request(
     path: &Path,
     request: &ReplicationRequest,
-) -> Result<ReplicationReply, AskError> {
+) -> Result<ReplicationReply, RequestError> {
     exchange(path, request).await
 }
 
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -154,13 +154,13 @@
     ) {
         self.finish(left);
         self.recover();
-        let _ = self.page(config.known.clone()); // what of it cannot be read, the bulletin is asked for
+        let _ = self.page(config.initial_page.clone()); // what of it cannot be read, the bulletin is asked for
         self.turn(|state, todo| state.register(&config, self.0.clock.now(), todo));
         let timer = spawn_local(self.clone().keep_time());
         let listener = doors.listener.borrow().clone();
         let acceptor = listener.map(|listener| spawn_local(self.clone().accept(listener)));
         if let Some(console) = doors.console.clone() {
-            spawn_local(self.clone().hear_operators(console, config.limits.operators()));
+            spawn_local(self.clone().hear_operators(console, config.limits.console_connections()));
         }
         spawn_local(self.clone().follow(self.0.followed.subscribe()));
         let (callers, servers) = {
@@ -192,7 +192,7 @@
             self.begin_stop();
             let new_ones_until = self.0.state.borrow().drain.new_ones_until();
             tokio::time::sleep_until(self.0.clock.until(new_ones_until.unwrap_or_default())).await;
-            self.close_door(&doors, acceptor, config.inherited.is_some()).await;
+            self.close_door(&doors, acceptor, config.inherited_fd.is_some()).await;
             while !self.may_leave() {
                 tokio::time::sleep(LOOK_EVERY).await;
             }
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -64,7 +64,7 @@
 impl State {
     /// How many connections callers may hold beside those to the call servers that are listed.
     pub(super) fn share_descriptors(&mut self, limits: Limits) {
-        self.guests.set_most(limits.callers_beside(self.core.listed_servers().count()));
+        self.guests.set_most(limits.client_connections_beside(self.core.listed_servers().count()));
     }
 
     /// Callers' connections give way to those to call servers, the least used first. Guards against idle connections that
--- a/src/instance/handover.rs
+++ b/src/instance/handover.rs
@@ -179,11 +179,11 @@
         let mut state = self.0.state.borrow_mut();
         let state = &mut *state;
         state.core = held.core.resume(config.core.clone());
-        let callers = limits.callers_beside(state.core.listed_servers().count());
+        let callers = limits.client_connections_beside(state.core.listed_servers().count());
         state.guests = held.guests.resume(callers, &self.0.caller_bytes);
         state.next_client = held.next_client;
         let stands = |no: u64| lines.contains_key(&(Side::Server, no));
-        let sip = held.sip.resume(&self.0.server_bytes, limits.links(), stands);
+        let sip = held.sip.resume(&self.0.server_bytes, limits.extra_server_connections(), stands);
         (state.sip, left.to_make) = (sip.trunks, sip.to_make);
         left.lost.extend(sip.lost.into_iter().map(|no| (Side::Server, no)));
         let without =
--- a/src/instance/open.rs
+++ b/src/instance/open.rs
@@ -83,7 +83,7 @@
         // An address that the predecessor holds comes along with all the rest.
         let unless_held = |error: &io::Error| somebody && error.kind() == io::ErrorKind::AddrInUse;
         let fail = |key, address| move |why| StartError::Listen { key, address, why };
-        let listener = match (config.inherited, config.listen) {
+        let listener = match (config.inherited_fd, config.listen) {
             (Some(descriptor), _) => {
                 let taken = takeover::inherited(descriptor).and_then(TcpListener::from_std);
                 Some(taken.map_err(|why| StartError::Inherited { descriptor, why })?)
@@ -140,12 +140,13 @@
         });
         let keeper = keeper.transpose()?;
         let limits = config.limits;
-        let (caller_bytes, server_bytes) = (Budget::new(limits.eighth()), Budget::new(limits.eighth()));
+        let (caller_bytes, server_bytes) =
+            (Budget::new(limits.memory_share()), Budget::new(limits.memory_share()));
         let state = State {
             core: Core::new(config.core.clone()),
-            guests: Guests::new(limits.callers()),
+            guests: Guests::new(limits.client_connections()),
             next_client: 0,
-            sip: Trunks::within(&server_bytes, limits.links()),
+            sip: Trunks::within(&server_bytes, limits.extra_server_connections()),
             callers: callers_of(&config)?,
             servers: servers_of(&config),
             callers_socket,
@@ -241,13 +242,13 @@
 fn callers_of(config: &InstanceConfig) -> Result<Callers, StartError> {
     let usual = Usual {
         class: config.core.classes.first().cloned().unwrap_or_else(|| "".into()),
-        left: config.usual_left,
+        left: config.default_caller_wait,
         zones: config.zones.clone(),
         seed: config.core.seed,
     };
     let (tokens, bounds) = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds)).unwrap_or_default();
     let mut callers = Callers::new(usual, Door::new(tokens, random()?));
-    callers.reconfigure(config.usual_left, &config.zones, tokens, bounds);
+    callers.reconfigure(config.default_caller_wait, &config.zones, tokens, bounds);
     callers.examine(config.secrets.users.as_ref(), random()?);
     Ok(callers)
 }
--- a/src/instance/reload.rs
+++ b/src/instance/reload.rs
@@ -46,8 +46,8 @@
                 // Settings stay or go as a whole. Guards against calls served by the classes of one file and the zones,
                 // times and limits of another: what goes with the settings stays with them.
                 config.zones = self.0.followed.borrow().zones.clone();
-                config.usual_left = state.callers.usual_left();
-                config.known = Page::default(); // read by the zones of the other file; the bulletin tells it too
+                config.default_caller_wait = state.callers.usual_left();
+                config.initial_page = Page::default(); // read by the zones of the other file; the bulletin tells it too
                 config.connect_timeout = span_of(self.0.connect_timeout.get());
             }
             let fleet = state.core.fleet_config_matches(config.core.fleet.as_ref());
@@ -74,14 +74,14 @@
             state.peers = config.peers.clone();
             let iax2 = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds));
             let (tokens, bounds) = iax2.unwrap_or_default();
-            state.callers.reconfigure(config.usual_left, &config.zones, tokens, bounds);
+            state.callers.reconfigure(config.default_caller_wait, &config.zones, tokens, bounds);
             state.servers.introduce(config.secrets.account.as_ref());
             match random() {
                 Ok(key) => state.callers.examine(config.secrets.users.as_ref(), key),
                 Err(error) => tracing::error!(%error, "users stay as they were"),
             }
             state.share_descriptors(config.limits);
-            state.sip.set_most_links(config.limits.links());
+            state.sip.set_most_links(config.limits.extra_server_connections());
             state.tally.reloads += 1;
         }
         self.0.limits.set(config.limits);
@@ -92,10 +92,10 @@
             state.register(&config, now, todo);
         });
         self.0.pool.set_most(config.limits.buffers());
-        self.0.caller_bytes.set_most(config.limits.eighth());
-        self.0.server_bytes.set_most(config.limits.eighth());
+        self.0.caller_bytes.set_most(config.limits.memory_share());
+        self.0.server_bytes.set_most(config.limits.memory_share());
         // News that the file holds beyond what was told so far comes first: the numbers carry on.
-        let known = config.known.clone();
+        let known = config.initial_page.clone();
         let _ = self.page(known); // what of it cannot be read, the bulletin is asked for
         self.0.followed.send_if_modified(|followed| {
             let next = Followed::of(&config);
--- a/src/instance/replication.rs
+++ b/src/instance/replication.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 use crate::config::overlay::{Overlay, SettingsValidator, ALL_PREFIX, SERVICE_PREFIX};
-use crate::config::{any_seed, InstanceConfig, ReplicationConfig};
+use crate::config::{random_seed, InstanceConfig, ReplicationConfig};
 use crate::instance::Instance;
 use crate::interface::Time;
 use crate::replication::{Dot, Event, ProposeError, Replica, ReplicaConfig, MAX_DATAGRAM, MEMBER_PREFIX};
@@ -49,7 +49,7 @@
         let overlay = Rc::new(RefCell::new(Overlay::new(file.clone(), &config.replica.service)));
         let validator = Box::new(SettingsValidator(overlay.clone()));
         let replica =
-            ReplicaConfig { incarnation: incarnation(), seed: any_seed(), ..config.replica.clone() };
+            ReplicaConfig { incarnation: incarnation(), seed: random_seed(), ..config.replica.clone() };
         Replication {
             service: replica.service.clone(),
             seeds: replica.seeds.clone(),
@@ -159,7 +159,7 @@
         let replica = self.replica.borrow();
         let own = format!("{SERVICE_PREFIX}{}/", self.service);
         let values = replica.values(ALL_PREFIX).chain(replica.values(&own));
-        let (config, left_out) = self.overlay.borrow().in_force(values);
+        let (config, left_out) = self.overlay.borrow().effective_config(values);
         for error in left_out {
             tracing::warn!(instance, %error, "replication: does not fit the file; left out");
         }
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -86,7 +86,7 @@
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
         let mut config = support::config(bulletin.at);
         config.limits.sockets = 64;
-        let room = config.limits.callers();
+        let room = config.limits.client_connections();
         let controller = Controller::start(config).await;
         controller.holds_list().await;
         let mut silent = Vec::new();
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -666,7 +666,7 @@
         name_it("i0");
         let with = |dns: bool| {
             let mut config = config(board.at());
-            config.iax2 = Some(Iax2Config::at(any, any));
+            config.iax2 = Some(Iax2Config::new(any, any));
             config.dns_sd = dns.then(|| DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
             config
         };
--- a/tests/iax2.rs
+++ b/tests/iax2.rs
@@ -27,7 +27,7 @@
 async fn controller(bulletin: &Bulletin, resolver: &Resolver) -> Controller {
     let mut config = support::config(bulletin.at);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    config.iax2 = Some(Iax2Config::at(any, any));
+    config.iax2 = Some(Iax2Config::new(any, any));
     config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
     Controller::start(config).await
 }
--- a/tests/iax2_auth.rs
+++ b/tests/iax2_auth.rs
@@ -25,7 +25,7 @@
     resolver.name_server("i0", server.at, 60, &["cell=0".into(), "zone=east".into()]);
     let mut config = support::config(bulletin.at);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    config.iax2 = Some(Iax2Config::at(any, any));
+    config.iax2 = Some(Iax2Config::new(any, any));
     config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
     config.secrets = secrets;
     let controller = Controller::start(config).await;
--- a/tests/iax2_registration.rs
+++ b/tests/iax2_registration.rs
@@ -177,7 +177,7 @@
         let world = World::default();
         let mut config = support::config("127.0.0.1:9".parse().expect("an address"));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        config.iax2 = Some(Iax2Config { tokens: TokenPolicy::Required, ..Iax2Config::at(any, any) });
+        config.iax2 = Some(Iax2Config { tokens: TokenPolicy::Required, ..Iax2Config::new(any, any) });
         (config.bulletin, config.secrets) =
             (None, Iax2Secrets { users: Users::parse(USERS).ok(), account: None });
         let controller = Controller::start(config).await;
@@ -226,7 +226,7 @@
             config
         };
         let nobody = Users::parse("[user.other]\nsecret = 'x'\n").ok();
-        let iax2 = || Iax2Config { tokens: TokenPolicy::Required, ..Iax2Config::at(any, any) };
+        let iax2 = || Iax2Config { tokens: TokenPolicy::Required, ..Iax2Config::new(any, any) };
         let registrar = Controller::start(config(iax2(), Iax2Secrets { users: nobody, account: None })).await;
         let at = registrar.iax2_at.expect("a port");
         let mine = Iax2Secrets { users: None, account: Some(account("s1", "wort")) };
--- a/tests/iax2_tokens.rs
+++ b/tests/iax2_tokens.rs
@@ -15,7 +15,7 @@
 async fn controller(bulletin: &Bulletin, resolver: &Resolver, tokens: TokenPolicy) -> Controller {
     let mut config = support::config(bulletin.at);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    config.iax2 = Some(Iax2Config { tokens, ..Iax2Config::at(any, any) });
+    config.iax2 = Some(Iax2Config { tokens, ..Iax2Config::new(any, any) });
     config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
     let controller = Controller::start(config).await;
     controller.holds_list().await;
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -95,7 +95,7 @@
         let long = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = lockpoint::interface::Span::from_millis(60_000);
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            config.iax2 = Some(Iax2Config::at(any, any));
+            config.iax2 = Some(Iax2Config::new(any, any));
             change(config);
         };
         let (controller, bulletin) = Controller::with_hands(&world, &[&hand], long).await;
@@ -304,7 +304,7 @@
         resolver.name_server("i0", at, 1, &["cell=0".into(), "zone=east".into()]);
         let mut config = support::config(bulletin.at);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        config.iax2 = Some(Iax2Config::at(any, any));
+        config.iax2 = Some(Iax2Config::new(any, any));
         config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
         let controller = Controller::start(config).await;
         controller.holds_list().await;
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use lockpoint::control::{ask, Command as Asked, Reply, Request};
+use lockpoint::control::{send_request, Command as Asked, Reply, Request};
 use lockpoint_lab::bulletin::Bulletin;
 use lockpoint_lab::world::{on_one_thread, World};
 use serde_json::Value;
@@ -51,7 +51,7 @@
         let end = Instant::now() + Duration::from_secs(20);
         loop {
             let request = Request { command, instance: None };
-            match ask(&self.dir.join("control.sock"), &request).await {
+            match send_request(&self.dir.join("control.sock"), &request).await {
                 Ok(reply) => return reply,
                 Err(error) => assert!(Instant::now() < end, "{error}"),
             }
@@ -117,6 +117,6 @@
         for _ in 0..2_000 {
             assert!(matches!(agent.ask(Asked::Reload).await, Reply::Error { .. }));
         }
-        assert!(matches!(agent.ask(Asked::Ping).await, Reply::Called { .. }));
+        assert!(matches!(agent.ask(Asked::Ping).await, Reply::ConsoleAnswers { .. }));
     });
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -62,16 +62,25 @@
 fn what_each_concern_may_use_follows_the_limits(#[case] sockets: usize, #[case] memory_mb: usize) {
     let limits = Limits { sockets, memory_mb };
     // Callers hold at most a third; the rest of their share is for those who hold more than that.
-    assert!(limits.callers() > sockets / 3 && limits.callers() + limits.links() < sockets);
+    assert!(
+        limits.client_connections() > sockets / 3
+            && limits.client_connections() + limits.extra_server_connections() < sockets
+    );
     // Beside many call servers callers have less, and all shares together leave some for the program itself.
     for servers in [0, 24, 40] {
-        let callers = limits.callers_beside(servers);
-        assert!(callers > sockets / 3 && callers <= limits.callers());
-        assert!(callers + servers + limits.links() + limits.operators() < sockets - 8);
+        let callers = limits.client_connections_beside(servers);
+        assert!(callers > sockets / 3 && callers <= limits.client_connections());
+        assert!(
+            callers + servers + limits.extra_server_connections() + limits.console_connections()
+                < sockets - 8
+        );
     }
     // Four such shares: buffers, descriptions, and what waits on either side.
-    assert!(4 * limits.eighth() <= (memory_mb << 20) / 2 && limits.buffers() * 16_640 <= limits.eighth());
-    assert!(limits.calls(20_000) * 1_024 <= limits.eighth() && limits.calls(10) == 10);
+    assert!(
+        4 * limits.memory_share() <= (memory_mb << 20) / 2
+            && limits.buffers() * 16_640 <= limits.memory_share()
+    );
+    assert!(limits.pending_calls(20_000) * 1_024 <= limits.memory_share() && limits.pending_calls(10) == 10);
 }
 
 // ---- SIP -------------------------------------------------------------------------------------------------
--- a/tests/replication_settings.rs
+++ b/tests/replication_settings.rs
@@ -15,7 +15,7 @@
 /// Returns the settings in force with these values, all of which must be valid.
 fn in_force(values: &[(&str, &str)]) -> Value {
     let values = values.iter().map(|(key, value)| (*key, value.as_bytes()));
-    let (config, left_out) = overlay().in_force(values);
+    let (config, left_out) = overlay().effective_config(values);
     assert_eq!(left_out, []);
     config.settings
 }
@@ -45,7 +45,8 @@
 #[test]
 fn values_derived_from_the_settings_follow_replicated_values() {
     let values = [("all/bounds.most-held", "7"), ("all/bounds.connect-timeout-us", "250000")];
-    let (config, left_out) = overlay().in_force(values.iter().map(|(key, value)| (*key, value.as_bytes())));
+    let (config, left_out) =
+        overlay().effective_config(values.iter().map(|(key, value)| (*key, value.as_bytes())));
     assert_eq!(left_out, []);
     assert_eq!((config.core.max_pending_calls, config.connect_timeout.0), (7, 250_000));
 }
@@ -72,7 +73,7 @@
     let error = overlay().check(key, Some(value.as_bytes())).expect_err("refused").to_string();
     assert!(error.contains(key) && error.contains(why), "{error}");
     // An invalid value that is in the store anyway is ignored, and the file's setting stays in force.
-    let (config, left_out) = overlay().in_force([(key, value.as_bytes())].into_iter());
+    let (config, left_out) = overlay().effective_config([(key, value.as_bytes())].into_iter());
     assert_eq!((config.settings, left_out.len()), (overlay().file().settings.clone(), 1));
 }
 
@@ -81,7 +82,7 @@
 fn an_unknown_row_is_refused_only_for_the_own_service() {
     assert_eq!(overlay().check("service/judges/classes.nobody.worth", Some(b"1")), Ok(()));
     let own = overlay().check("service/desks/classes.nobody.worth", Some(b"1"));
-    assert!(matches!(own, Err(OverlayError::Row { .. })), "{own:?}");
+    assert!(matches!(own, Err(OverlayError::UnknownRow { .. })), "{own:?}");
 }
 
 #[test]
