--- a/src/config/overlay.rs
+++ b/src/config/overlay.rs
@@ -1,7 +1,7 @@
-//! Settings with replicated values laid over them: which keys there are, and whether a value can be in force.
+//! Replicated values that override the settings of a file: the valid keys, and the checks of values.
 //!
-//! A key is `all/PATH` or `service/SERVICE/PATH`; the latter goes before the former. A path names one setting, dotted as in
-//! `rules.cold-share`; rows of lists go by their names, as in `classes.judge-call.goal-time-us`.
+//! A key is `all/PATH` or `service/SERVICE/PATH`; the latter takes precedence. A path identifies one setting, with dots as
+//! in `rules.cold-share`; rows of lists are identified by their names, as in `classes.judge-call.goal-time-us`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,13 +11,13 @@
 use super::InstanceConfig;
 use crate::replication::Validator;
 
-/// The prefix of keys that hold for every service.
+/// Prefix of keys that apply to all services.
 pub const ALL_PREFIX: &str = "all/";
-/// The prefix of keys that hold for one service.
+/// Prefix of keys that apply to one service.
 pub const SERVICE_PREFIX: &str = "service/";
 
-/// Settings outside any list, by path.
-const SETTINGS: [&str; 19] = [
+/// Paths of the settings outside lists.
+const SCALAR_SETTINGS: [&str; 19] = [
     "balancers",
     "bounds.cancel",
     "bounds.connect-timeout-us",
@@ -38,7 +38,7 @@
     "rules.overload-factor",
     "rules.tip-after-us",
 ];
-/// Settings of a row of a list, by the list. Names of rows are fixed: calls under way go by their places.
+/// Settings of the rows of each list. Names of rows are not among them, because pending calls refer to rows by index.
 const ROW_SETTINGS: [(&str, &[&str]); 2] = [
     (
         "classes",
@@ -46,37 +46,37 @@
     ),
     ("parties", &["quota-per-s", "share"]),
 ];
-/// Settings whose value in a file is ignored where it is no whole number; an operator's change is refused instead.
-const WHOLE_NUMBERS: [&str; 2] = ["bounds.connect-timeout-us", "bounds.most-held"];
+/// Settings that must be positive integers. In a file any other value is ignored; a replicated one is refused.
+const POSITIVE_INTEGERS: [&str; 2] = ["bounds.connect-timeout-us", "bounds.most-held"];
 
-/// Why a value cannot be in force.
+/// Why a replicated value is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OverlayError {
-    /// The key is of no known form.
-    #[error("'{0}': a key is all/PATH or service/SERVICE/PATH")]
+    /// The key has none of the valid forms.
+    #[error("'{0}': invalid key, expected all/PATH or service/SERVICE/PATH")]
     InvalidKey(String),
     /// No setting has this path.
-    #[error("'{0}': there is no such setting")]
+    #[error("'{0}': unknown setting")]
     UnknownSetting(String),
-    /// Calls under way go by the places in these lists.
-    #[error("'{0}': a running controller cannot take other lists of classes, customers or zones")]
+    /// The path is a list, or the name of a row, to which pending calls refer by index.
+    #[error("'{0}': the lists 'classes', 'parties' and 'zones' cannot change while the controller runs")]
     FixedSetting(String),
-    /// A list has no row of this name.
+    /// The list has no row with this name.
     #[error("'{key}': '{list}' has no row named '{row}'")]
     UnknownRow {
         /// The key.
         key: String,
         /// The list.
         list: String,
-        /// The name.
+        /// The name of the row.
         row: String,
     },
-    /// The value is no JSON.
-    #[error("'{key}': no JSON: {why}")]
+    /// The value is not valid JSON.
+    #[error("'{key}': invalid JSON: {why}")]
     InvalidJson {
         /// The key.
         key: String,
-        /// Why.
+        /// The reason.
         why: String,
     },
     /// The value does not pass the checks of the settings.
@@ -84,24 +84,24 @@
     InvalidValue {
         /// The key.
         key: String,
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// For whom a key holds, and its path.
+/// A parsed key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Key<'a> {
     text: &'a str,
-    /// `None`: every service.
+    /// The service that the key applies to; `None`: all services.
     service: Option<&'a str>,
     path: Path<'a>,
 }
 
-/// One setting.
+/// Path of one setting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Path<'a> {
-    Plain(&'a str),
+    Scalar(&'a str),
     Row { list: &'a str, row: &'a str, setting: &'a str },
 }
 
@@ -125,18 +125,18 @@
     }
 }
 
-/// Whether a path names a list that a running controller keeps, or the name of one of its rows.
+/// Returns whether a path is a list that cannot change while a controller runs, or the name of one of its rows.
 fn is_fixed(path: &str) -> bool {
-    let list_of = |row: &str| ROW_SETTINGS.iter().any(|(list, _)| *list == row);
+    let is_list = |path: &str| ROW_SETTINGS.iter().any(|(list, _)| *list == path);
     path == "zones"
-        || list_of(path)
-        || path.split_once('.').is_some_and(|(list, rest)| list_of(list) && rest.ends_with(".name"))
+        || is_list(path)
+        || path.split_once('.').is_some_and(|(list, rest)| is_list(list) && rest.ends_with(".name"))
 }
 
 impl<'a> Path<'a> {
     fn parse(text: &'a str) -> Option<Path<'a>> {
-        if SETTINGS.contains(&text) {
-            return Some(Path::Plain(text));
+        if SCALAR_SETTINGS.contains(&text) {
+            return Some(Path::Scalar(text));
         }
         let (list, rest) = text.split_once('.')?;
         let (row, setting) = rest.rsplit_once('.')?;
@@ -145,12 +145,12 @@
     }
 }
 
-/// Lays one value over the settings.
-fn lay(settings: &mut Value, key: Key<'_>, value: Value) -> Result<(), OverlayError> {
+/// Overrides one setting.
+fn apply(settings: &mut Value, key: Key<'_>, value: Value) -> Result<(), OverlayError> {
     match key.path {
-        Path::Plain(path) => {
+        Path::Scalar(path) => {
             let (section, setting) = path.split_once('.').unwrap_or(("", path));
-            let place = if section.is_empty() { settings } else { section_of(settings, section) };
+            let place = if section.is_empty() { settings } else { section_mut(settings, section) };
             place[setting] = value;
         }
         Path::Row { list, row, setting } => {
@@ -166,8 +166,8 @@
     Ok(())
 }
 
-/// A section of the settings, made if the file has none.
-fn section_of<'a>(settings: &'a mut Value, section: &str) -> &'a mut Value {
+/// Returns a section of the settings, which is created if the file has none.
+fn section_mut<'a>(settings: &'a mut Value, section: &str) -> &'a mut Value {
     let place = &mut settings[section];
     if !place.is_object() {
         *place = Value::Object(serde_json::Map::new());
@@ -175,12 +175,12 @@
     place
 }
 
-fn json_of(key: &str, value: &[u8]) -> Result<Value, OverlayError> {
+fn parse_json(key: &str, value: &[u8]) -> Result<Value, OverlayError> {
     serde_json::from_slice(value)
         .map_err(|e| OverlayError::InvalidJson { key: key.to_owned(), why: e.to_string() })
 }
 
-/// An instance's configuration as its file says it, and its service.
+/// An instance's configuration from its file, and the service whose replicated values override it.
 #[derive(Debug, Clone)]
 pub struct Overlay {
     file: InstanceConfig,
@@ -188,54 +188,54 @@
 }
 
 impl Overlay {
-    /// Nothing laid over it yet.
+    /// Creates an overlay for the configuration of a file.
     pub fn new(file: InstanceConfig, service: &str) -> Overlay {
         Overlay { file, service: service.to_owned() }
     }
 
-    /// The file was read again.
+    /// Replaces the configuration of the file, after a reload.
     pub fn set_file(&mut self, file: InstanceConfig) {
         self.file = file;
     }
 
-    /// The configuration as the file says it.
+    /// Returns the configuration of the file.
     pub fn file(&self) -> &InstanceConfig {
         &self.file
     }
 
-    /// Whether a key's value can be in force here; no value: the key is deleted.
+    /// Checks whether a key's value is usable here. No value: the key is deleted, which is always allowed.
     pub fn check(&self, key: &str, value: Option<&[u8]>) -> Result<(), OverlayError> {
         let Some(value) = value else { return Ok(()) };
         let key = Key::parse(key)?;
-        let value = json_of(key.text, value)?;
+        let value = parse_json(key.text, value)?;
         let mut settings = self.file.settings.clone();
-        match lay(&mut settings, key, value.clone()) {
-            // Another service may have other rows.
+        match apply(&mut settings, key, value.clone()) {
+            // Another service may have other rows than this one.
             Err(OverlayError::UnknownRow { .. })
                 if key.service.is_some_and(|service| service != self.service) =>
             {
                 return Ok(())
             }
-            laid => laid?,
+            applied => applied?,
         }
         self.check_value(key, &value, settings)
     }
 
     fn check_value(&self, key: Key<'_>, value: &Value, settings: Value) -> Result<(), OverlayError> {
-        let wrong = |why: String| Err(OverlayError::InvalidValue { key: key.text.to_owned(), why });
-        if let Path::Plain(path) = key.path {
-            if WHOLE_NUMBERS.contains(&path) && value.as_u64().is_none_or(|number| number == 0) {
-                return wrong(format!("{value} is no whole number above 0"));
+        let invalid = |why: String| Err(OverlayError::InvalidValue { key: key.text.to_owned(), why });
+        if let Path::Scalar(path) = key.path {
+            if POSITIVE_INTEGERS.contains(&path) && value.as_u64().is_none_or(|number| number == 0) {
+                return invalid(format!("{value} is not a positive integer"));
             }
         }
         match self.file.with_settings(settings) {
             Ok(_) => Ok(()),
-            Err((_, why)) => wrong(why),
+            Err((_, why)) => invalid(why),
         }
     }
 
-    /// The configuration in force: the file's with these values laid over, those of the service last. Values that do
-    /// not fit the file are left out and returned with the reason.
+    /// Returns the configuration of the file overridden by these values; values for the service take precedence over
+    /// those for all services. Values that are not usable are left out, and returned as errors.
     pub fn effective_config<'a>(
         &self,
         values: impl Iterator<Item = (&'a str, &'a [u8])>,
@@ -244,9 +244,10 @@
         let mut left_out = Vec::new();
         let mut entries: Vec<(Key<'_>, Value)> = Vec::new();
         for (text, value) in values {
-            let read =
-                self.check(text, Some(value)).and_then(|()| Ok((Key::parse(text)?, json_of(text, value)?)));
-            match read {
+            let parsed = self
+                .check(text, Some(value))
+                .and_then(|()| Ok((Key::parse(text)?, parse_json(text, value)?)));
+            match parsed {
                 Ok(entry) => entries.push(entry),
                 Err(error) => left_out.push(error),
             }
@@ -254,7 +255,7 @@
         entries.retain(|(key, _)| key.service.is_none_or(|service| service == self.service));
         entries.sort_by_key(|(key, _)| key.service.is_some());
         for (key, value) in entries {
-            left_out.extend(lay(&mut settings, key, value).err());
+            left_out.extend(apply(&mut settings, key, value).err());
         }
         match self.file.with_settings(settings) {
             Ok(config) => (config, left_out),
--- a/src/config/replication.rs
+++ b/src/config/replication.rs
@@ -1,4 +1,4 @@
-//! The `[instance.replication]` section of an operator's file: how an instance takes part in replicated configuration.
+//! The `[instance.replication]` section of an operator's file: replicated configuration and membership of an instance.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,24 @@
 use crate::replication::version::MAX_SOURCES;
 use crate::replication::{ReplicaConfig, SourceId, MAX_DATAGRAM, MAX_KEY_LENGTH, MEMBER_PREFIX};
 
-/// The longest cluster, region, zone or service name, in bytes: a member's record must fit a value.
+/// Maximum length of a cluster, region, zone or service name, in bytes: a member's record must fit into one value.
 const MAX_NAME_LENGTH: usize = 64;
-/// The smallest byte budget: one full datagram each second.
+/// The smallest byte budget: one datagram of maximum length per second.
 const MIN_BYTES_PER_SECOND: u32 = MAX_DATAGRAM as u32;
 
-/// How an instance takes part in replicated configuration.
+/// Replicated configuration of an instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicationConfig {
-    /// Where datagrams are received, and sent from.
+    /// Address at which datagrams are received and from which they are sent.
     pub listen: SocketAddr,
-    /// The replica's configuration; incarnation and random seed are chosen when the instance starts.
+    /// Configuration of the replica; its incarnation and random seed are set when the instance starts.
     pub replica: ReplicaConfig,
 }
 
-/// The section as it stands in the file.
+/// The section as written in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct ReplicationForm {
+pub(super) struct ReplicationSection {
     cluster: String,
     listen: SocketAddr,
     #[serde(default)]
@@ -41,14 +41,14 @@
     bytes_per_second: Option<u32>,
 }
 
-impl ReplicationForm {
-    /// The instance's configuration; an error holds the key at fault and the reason.
-    pub(super) fn checked(self, instance: &str) -> Result<ReplicationConfig, (String, String)> {
-        let wrong = |key: &str, why: String| Err((format!("replication.{key}"), why));
-        let longest_instance_name = MAX_KEY_LENGTH - MEMBER_PREFIX.len();
-        if instance.is_empty() || instance.len() > longest_instance_name {
+impl ReplicationSection {
+    /// Returns the instance's configuration. An error contains the invalid key and the reason.
+    pub(super) fn validated(self, instance: &str) -> Result<ReplicationConfig, (String, String)> {
+        let invalid = |key: &str, why: String| Err((format!("replication.{key}"), why));
+        let max_name_length = MAX_KEY_LENGTH - MEMBER_PREFIX.len();
+        if instance.is_empty() || instance.len() > max_name_length {
             let why =
-                format!("a member's name has 1 to {longest_instance_name} bytes, not {}", instance.len());
+                format!("a member's name must have 1 to {max_name_length} bytes, not {}", instance.len());
             return Err(("name".to_owned(), why));
         }
         let names = [
@@ -59,11 +59,14 @@
         ];
         for (key, name) in names {
             if name.is_empty() || name.len() > MAX_NAME_LENGTH {
-                return wrong(key, format!("it has 1 to {MAX_NAME_LENGTH} bytes, not {}", name.len()));
+                return invalid(
+                    key,
+                    format!("a name must have 1 to {MAX_NAME_LENGTH} bytes, not {}", name.len()),
+                );
             }
         }
         if self.service.contains('/') {
-            return wrong(
+            return invalid(
                 "service",
                 format!("'{}' contains '/', which separates the parts of a key", self.service),
             );
@@ -71,22 +74,22 @@
         let address = self.advertise.unwrap_or(self.listen);
         if address.port() == 0 || address.ip().is_unspecified() {
             let key = if self.advertise.is_some() { "advertise" } else { "listen" };
-            return wrong(key, format!("{address} is no address that others can send to"));
+            return invalid(key, format!("{address} is not an address that other members can send to"));
         }
         if self.seeds.is_empty() {
-            return wrong("seeds", "the address of one source at least is needed".to_owned());
+            return invalid("seeds", "the address of at least one source is needed".to_owned());
         }
         if let Some(source) = self.source.filter(|source| usize::from(*source) >= MAX_SOURCES) {
-            return wrong("source", format!("{source} is not from 0 to {}", MAX_SOURCES - 1));
+            return invalid("source", format!("{source} is not between 0 and {}", MAX_SOURCES - 1));
         }
         let defaults = ReplicaConfig::default();
         let fanout = self.fanout.unwrap_or(defaults.fanout);
         if fanout == 0 {
-            return wrong("fanout", "one member at least must be told of a change".to_owned());
+            return invalid("fanout", "each change must be sent to at least one member".to_owned());
         }
         let bytes_per_second = self.bytes_per_second.unwrap_or(defaults.bytes_per_second);
         if bytes_per_second < MIN_BYTES_PER_SECOND {
-            return wrong(
+            return invalid(
                 "bytes_per_second",
                 format!("{bytes_per_second} is less than {MIN_BYTES_PER_SECOND}"),
             );
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -41,7 +41,7 @@
 
 impl LogConfig {
     /// Whether its level can be read; why not.
-    pub fn checked(&self) -> Result<(), String> {
+    pub fn validated(&self) -> Result<(), String> {
         filter_of(&self.level).map(drop)
     }
 }
@@ -96,10 +96,10 @@
     #[test]
     fn a_level_is_known_or_named_as_wrong() {
         for good in ["info", "warn,lockpoint::iax2=debug", "off", "TRACE"] {
-            assert_eq!(LogConfig { level: good.to_owned(), ..LogConfig::default() }.checked(), Ok(()));
+            assert_eq!(LogConfig { level: good.to_owned(), ..LogConfig::default() }.validated(), Ok(()));
         }
         for bad in ["loud", "info,verbose", "lockpoint=loud"] {
-            let why = LogConfig { level: bad.to_owned(), ..LogConfig::default() }.checked();
+            let why = LogConfig { level: bad.to_owned(), ..LogConfig::default() }.validated();
             assert!(
                 why.is_err_and(|why| why.contains(bad.rsplit([',', '=']).next().unwrap_or(bad))),
                 "{bad}"
--- a/tests/replication_processes.rs
+++ b/tests/replication_processes.rs
@@ -262,11 +262,11 @@
 
     let hash = source.query(&["fleet", "config"])["hash"].clone();
     let refused = [
-        ("all/rules.cold-share", "1.5", "1.5 is not from 0 to 1"),
-        ("all/rules.no-such", "1", "there is no such setting"),
+        ("all/rules.cold-share", "1.5", "1.5 is not between 0 and 1"),
+        ("all/rules.no-such", "1", "unknown setting"),
         ("all/classes.nobody.worth", "1", "no row named 'nobody'"),
-        ("all/classes", "[]", "cannot take other lists"),
-        ("all/bounds.most-held", "-1", "no whole number"),
+        ("all/classes", "[]", "cannot change while the controller runs"),
+        ("all/bounds.most-held", "-1", "-1 is not a positive integer"),
     ];
     for (key, value, why) in refused {
         let output = source.run_tool(&["fleet", "set", key, "--", value]);
--- a/tests/replication_settings.rs
+++ b/tests/replication_settings.rs
@@ -52,19 +52,23 @@
 }
 
 #[rstest]
-#[case::without_prefix("rules.cold-share", "0.1", "a key is all/PATH or service/SERVICE/PATH")]
-#[case::without_service("service//rules.cold-share", "0.1", "a key is all/PATH or service/SERVICE/PATH")]
-#[case::unknown_path("all/rules.no-such", "1", "there is no such setting")]
-#[case::whole_section("all/rules", "{}", "there is no such setting")]
-#[case::list_of_classes("all/classes", "[]", "cannot take other lists")]
-#[case::list_of_zones("all/zones", "[]", "cannot take other lists")]
-#[case::name_of_a_row("all/classes.judge-call.name", "\"x\"", "cannot take other lists")]
+#[case::without_prefix("rules.cold-share", "0.1", "invalid key, expected all/PATH or service/SERVICE/PATH")]
+#[case::without_service(
+    "service//rules.cold-share",
+    "0.1",
+    "invalid key, expected all/PATH or service/SERVICE/PATH"
+)]
+#[case::unknown_path("all/rules.no-such", "1", "unknown setting")]
+#[case::whole_section("all/rules", "{}", "unknown setting")]
+#[case::list_of_classes("all/classes", "[]", "cannot change while the controller runs")]
+#[case::list_of_zones("all/zones", "[]", "cannot change while the controller runs")]
+#[case::name_of_a_row("all/classes.judge-call.name", "\"x\"", "cannot change while the controller runs")]
 #[case::unknown_row("all/classes.nobody.worth", "1", "'classes' has no row named 'nobody'")]
-#[case::not_json("all/rules.cold-share", "much", "no JSON")]
-#[case::share_above_one("all/rules.cold-share", "1.5", "1.5 is not from 0 to 1")]
-#[case::share_below_zero("all/over-share-worth", "-0.1", "-0.1 is not from 0 to 1")]
+#[case::not_json("all/rules.cold-share", "much", "invalid JSON")]
+#[case::share_above_one("all/rules.cold-share", "1.5", "1.5 is not between 0 and 1")]
+#[case::share_below_zero("all/over-share-worth", "-0.1", "-0.1 is not between 0 and 1")]
 #[case::wrong_type("all/rules.cold-us", "\"long\"", "invalid type")]
-#[case::not_a_whole_number("all/bounds.most-held", "0", "no whole number above 0")]
+#[case::not_a_whole_number("all/bounds.most-held", "0", "0 is not a positive integer")]
 fn an_invalid_value_is_refused_with_an_error_that_names_its_key(
     #[case] key: &str,
     #[case] value: &str,
