--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,4 @@
-//! The agent's control socket: one JSON request a line in, one JSON answer a line out.
+//! The agent's control socket. A connection carries one JSON request and its JSON reply, each on one line.
 
 mod client;
 pub mod replication;
@@ -26,57 +26,57 @@
 
 pub use client::{send_request, stats_line, RequestError};
 
-/// The longest line taken.
-const LONGEST: u64 = 64 * 1024;
-/// A client that says nothing for so long is dropped.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Maximum length of a request, in bytes.
+const MAX_REQUEST_BYTES: u64 = 64 * 1024;
+/// Timeout of a request and its reply, for both sides.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What may be asked.
+/// Commands of the control socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Command {
-    /// The state of instances and of the call servers that they know.
+    /// Report the state of instances and of the call servers that they know.
     Status,
-    /// Their counters.
+    /// Report the counters of instances.
     Stats,
-    /// Reread the operator's file: instances listed in it are told of it, new ones start, others finish and end.
+    /// Reread the operator's file: running instances are reconfigured, new ones start, and those no longer listed stop.
     Reload,
-    /// Can they serve?
+    /// Report whether instances can serve callers.
     Ping,
-    /// Their figures.
+    /// Report the metrics of instances.
     Info,
-    /// Send callers away; the instances stay.
+    /// Send callers away from instances, which keep running.
     Lameduck,
-    /// The same by its older name.
+    /// Earlier name of `lameduck`.
     Drain,
-    /// Back to work.
+    /// Accept callers again after `lameduck`.
     Rejoin,
-    /// Finish what was taken and end; without an instance named the agent ends too.
+    /// Answer all pending calls and stop; if no instance is named, the agent stops too.
     Stop,
 }
 
 /// A request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// What is asked.
+    /// The command.
     pub command: Command,
-    /// Of which instance; all where it is not said.
+    /// Name of the instance; `None`: all instances.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instance: Option<String>,
 }
 
-/// A call server as an instance knows it.
+/// A call server known to an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the names are self-explanatory
 pub struct ServerStatus {
     pub host: String,
     pub dial: String,
     pub state: String,
 }
 
-/// An instance.
+/// The state of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the names are self-explanatory
 pub struct InstanceStatus {
     pub name: String,
     pub state: String,
@@ -88,95 +88,97 @@
     pub servers: Vec<ServerStatus>,
 }
 
-/// What an instance answers to a call.
+/// An instance's answer to a console command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the names are self-explanatory
 pub struct ConsoleAnswer {
     pub name: String,
-    /// As at its console: `SUCCESS` or `FAILURE` first.
+    /// The text that its console would send, which starts with `SUCCESS` or `FAILURE`.
     pub answer: String,
 }
 
-/// An answer.
+/// A reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "lowercase")]
 pub enum Reply {
-    /// To `ping`, `info`, `lameduck`, `drain` and `rejoin`: what the console of each would answer.
+    /// Reply to `ping`, `info`, `lameduck`, `drain` and `rejoin`.
     #[serde(rename = "called")]
     ConsoleAnswers {
-        /// The instances asked for, by name.
+        /// The answers of the requested instances.
         instances: Vec<ConsoleAnswer>,
     },
-    /// To `status`, `reload` and `stop`.
+    /// Reply to `status`, `reload` and `stop`.
     Status {
-        /// The instances asked for.
+        /// The requested instances.
         instances: Vec<InstanceStatus>,
     },
-    /// To `stats`.
+    /// Reply to `stats`.
     Stats {
-        /// The instances asked for, each an object of counters.
+        /// The requested instances, each an object of counters.
         instances: Vec<serde_json::Value>,
     },
-    /// It could not be done.
+    /// The request failed.
     Error {
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// An agent that cannot run.
+/// Why an agent cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum AgentError {
     /// An instance cannot start.
     #[error("instance '{name}': {why}")]
     Start {
-        /// Which.
+        /// Name of the instance.
         name: String,
-        /// Why.
+        /// The reason.
         why: StartError,
     },
-    /// The control socket cannot be made.
+    /// The control socket cannot be created.
     #[error("control socket {}: {why}", path.display())]
     Control {
-        /// Where.
+        /// Path of the socket.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         why: io::Error,
     },
 }
 
-struct Running {
+/// An instance and the addresses it is bound to.
+struct RunningInstance {
     name: String,
     listen: Option<String>,
     iax2: Option<String>,
     console: Option<String>,
     instance: Instance,
     stop: Rc<Notify>,
-    done: Rc<Cell<bool>>,
-    /// Listed again while it ends: it starts anew by this once it has ended.
-    again: Rc<RefCell<Option<InstanceConfig>>>,
+    ended: Rc<Cell<bool>>,
+    /// Configuration to restart with once it has ended, if the file lists it again while it stops.
+    restart_config: Rc<RefCell<Option<InstanceConfig>>>,
 }
 
 struct Agent {
     file: PathBuf,
     control: PathBuf,
-    running: RefCell<Vec<Running>>,
+    running: RefCell<Vec<RunningInstance>>,
+    /// Notified when an instance has ended, or the agent is to stop.
     changed: Notify,
-    end: RefCell<bool>,
+    stopping: RefCell<bool>,
 }
 
-/// Runs the instances of a file, each its own controller, until they are all told to stop; rereads the file each time
-/// that `reload` is notified. To be called within a `LocalSet`.
+/// Runs the instances of a file, each of which is a controller, until the agent is told to stop and all have ended.
+/// Rereads the file when `reload` is notified. Must be called within a `LocalSet`.
 pub async fn run(
     file: PathBuf,
     config: OperatorConfig,
     stop: impl std::future::Future<Output = ()>,
     reload: &Notify,
 ) -> Result<(), AgentError> {
-    let mut bounds = Vec::new();
+    let mut opened = Vec::new();
     for instance in config.instances {
         let name = instance.name.clone();
-        bounds.push(Bound::open(instance).await.map_err(|why| AgentError::Start { name, why })?);
+        opened.push(Bound::open(instance).await.map_err(|why| AgentError::Start { name, why })?);
     }
     let listener = listen(&config.control).await?;
     let agent = Rc::new(Agent {
@@ -184,26 +186,26 @@
         control: config.control,
         running: RefCell::default(),
         changed: Notify::new(),
-        end: RefCell::new(false),
+        stopping: RefCell::new(false),
     });
-    for bound in bounds {
+    for bound in opened {
         agent.start(bound);
     }
     let serving = spawn_local(serve(agent.clone(), listener));
     tokio::pin!(stop);
-    let mut asked = false;
+    let mut stop_requested = false;
     loop {
         tokio::select! {
-            _ = &mut stop, if !asked => {
-                asked = true;
-                agent.ask_to_stop(None);
-                *agent.end.borrow_mut() = true;
+            _ = &mut stop, if !stop_requested => {
+                stop_requested = true;
+                agent.stop_instances(None);
+                *agent.stopping.borrow_mut() = true;
             }
-            // What is wrong with the file is in the log.
-            _ = reload.notified(), if !asked => drop(agent.reload().await),
+            // `reload` logs its errors.
+            _ = reload.notified(), if !stop_requested => drop(agent.reload().await),
             _ = agent.changed.notified() => {}
         }
-        if *agent.end.borrow() && agent.running.borrow().iter().all(|running| running.done.get()) {
+        if *agent.stopping.borrow() && agent.running.borrow().iter().all(|running| running.ended.get()) {
             break;
         }
     }
@@ -212,16 +214,23 @@
     Ok(())
 }
 
-/// Takes the place of a socket that nobody answers at any more, never of a live one or of another kind of file.
+/// Binds the control socket. A socket left behind by an agent that no longer runs is replaced; one at which an agent
+/// listens, or a file of another kind, is an error.
 async fn listen(path: &Path) -> Result<UnixListener, AgentError> {
     use std::os::unix::fs::FileTypeExt;
     let fail = |why| AgentError::Control { path: path.to_owned(), why };
     if let Ok(found) = std::fs::symlink_metadata(path) {
         if !found.file_type().is_socket() {
-            return Err(fail(io::Error::new(io::ErrorKind::AlreadyExists, "another file is in the way")));
+            return Err(fail(io::Error::new(
+                io::ErrorKind::AlreadyExists,
+                "the path exists and is not a socket",
+            )));
         }
         if UnixStream::connect(path).await.is_ok() {
-            return Err(fail(io::Error::new(io::ErrorKind::AddrInUse, "an agent is running there")));
+            return Err(fail(io::Error::new(
+                io::ErrorKind::AddrInUse,
+                "another agent is already listening on it",
+            )));
         }
         std::fs::remove_file(path).map_err(fail)?;
     }
@@ -235,7 +244,7 @@
         if let Ok((stream, _)) = listener.accept().await {
             let agent = agent.clone();
             spawn_local(async move {
-                let _ = tokio::time::timeout(PATIENCE, answer(agent, stream)).await;
+                let _ = tokio::time::timeout(REQUEST_TIMEOUT, answer(agent, stream)).await;
             });
         }
     }
@@ -244,7 +253,7 @@
 async fn answer(agent: Rc<Agent>, mut stream: UnixStream) -> io::Result<()> {
     let (reader, mut writer) = stream.split();
     let mut line = String::new();
-    BufReader::new(reader.take(LONGEST)).read_line(&mut line).await?;
+    BufReader::new(reader.take(MAX_REQUEST_BYTES)).read_line(&mut line).await?;
     let mut text = agent.answer_line(&line).await;
     text.push('\n');
     writer.write_all(text.as_bytes()).await?;
@@ -253,25 +262,26 @@
 
 impl Agent {
     fn start(self: &Rc<Self>, bound: Bound) {
-        let (stop, done) = (Rc::new(Notify::new()), Rc::new(Cell::new(false)));
-        let again: Rc<RefCell<Option<InstanceConfig>>> = Rc::default();
+        let (stop, ended) = (Rc::new(Notify::new()), Rc::new(Cell::new(false)));
+        let restart_config: Rc<RefCell<Option<InstanceConfig>>> = Rc::default();
         let text = |address: Option<std::net::SocketAddr>| address.map(|a| a.to_string());
-        let running = Running {
+        let running = RunningInstance {
             name: bound.handle().name().to_owned(),
             listen: text(bound.listens_at()),
             iax2: text(bound.iax2_at()),
             console: text(bound.console_at()),
             instance: bound.handle(),
             stop: stop.clone(),
-            done: done.clone(),
-            again: again.clone(),
+            ended: ended.clone(),
+            restart_config: restart_config.clone(),
         };
-        // Guards against an agent that never ends: this one was being opened when all were told to stop.
-        if *self.end.borrow() {
+        // The agent may have been told to stop while this instance was being opened. If it kept running, the agent would
+        // never end.
+        if *self.stopping.borrow() {
             running.instance.begin_stop();
             running.stop.notify_one();
         }
-        // One that has ended and is listed again takes its old place.
+        // An ended instance of the same name is replaced.
         let mut all = self.running.borrow_mut();
         all.retain(|other| other.name != running.name);
         all.push(running);
@@ -279,9 +289,9 @@
         spawn_local(async move {
             let counters = bound.run(async move { stop.notified().await }).await;
             tracing::info!("{}", counters.line());
-            done.set(true);
-            let anew = again.take().filter(|_| !*agent.end.borrow());
-            if let Some(config) = anew {
+            ended.set(true);
+            let restart = restart_config.take().filter(|_| !*agent.stopping.borrow());
+            if let Some(config) = restart {
                 agent.open(config).await.unwrap_or_else(|why| tracing::error!("{why}"));
             }
             agent.changed.notify_one();
@@ -296,7 +306,7 @@
         Ok(())
     }
 
-    /// Rereads the operator's file. Guards against a bad file that takes the place of a good one: nothing changes then.
+    /// Rereads the operator's file. If it is invalid, nothing changes.
     async fn reload(self: &Rc<Self>) -> Result<(), String> {
         let config = match config::from_file(&self.file) {
             Ok(config) => config,
@@ -308,28 +318,30 @@
             }
         };
         if config.control != self.control {
-            tracing::warn!("only a restart can change control");
+            tracing::warn!("only a restart can change 'control'");
         }
-        let unlisted = |r: &&Running| !config.instances.iter().any(|listed| listed.name == r.name);
+        let unlisted = |r: &&RunningInstance| !config.instances.iter().any(|listed| listed.name == r.name);
         for running in self.running.borrow().iter().filter(unlisted) {
-            running.again.take();
+            running.restart_config.take();
             running.instance.begin_stop();
             running.stop.notify_one();
         }
         let mut faults = Vec::new();
         for listed in config.instances {
             let name = listed.name.clone();
-            let at_work = {
+            let found = {
                 let all = self.running.borrow();
-                let found = all.iter().find(|r| r.name == name && !r.done.get());
-                found.map(|r| (r.instance.clone(), r.again.clone()))
+                let found = all.iter().find(|r| r.name == name && !r.ended.get());
+                found.map(|r| (r.instance.clone(), r.restart_config.clone()))
             };
-            match at_work {
-                Some((instance, again)) if instance.stopping() => drop(again.replace(Some(listed))),
+            match found {
+                Some((instance, restart_config)) if instance.stopping() => {
+                    drop(restart_config.replace(Some(listed)))
+                }
                 Some((instance, _)) => {
-                    let kept = instance.reload(listed);
-                    if !kept.is_empty() {
-                        let keys = kept.join(", ");
+                    let unchanged = instance.reload(listed);
+                    if !unchanged.is_empty() {
+                        let keys = unchanged.join(", ");
                         tracing::warn!("instance '{name}': only a restart can change {keys}");
                     }
                 }
@@ -344,97 +356,99 @@
         Err(why)
     }
 
-    /// The answer to a request as it came, in JSON.
+    /// Answers a request line with a reply in JSON.
     async fn answer_line(self: &Rc<Self>, line: &str) -> String {
-        let unreadable = |error| Reply::Error { why: format!("the request cannot be read: {error}") };
-        let about_replication = serde_json::from_str::<serde_json::Map<String, serde_json::Value>>(line)
+        let malformed = |error| Reply::Error { why: format!("malformed request: {error}") };
+        let concerns_replication = serde_json::from_str::<serde_json::Map<String, serde_json::Value>>(line)
             .is_ok_and(|request| request.contains_key("replication"));
-        if about_replication {
+        if concerns_replication {
             return match serde_json::from_str::<ReplicationRequest>(line) {
                 Ok(request) => serde_json::to_string(&self.answer_replication(&request)),
-                Err(error) => serde_json::to_string(&unreadable(error)),
+                Err(error) => serde_json::to_string(&malformed(error)),
             }
             .unwrap_or_default();
         }
         let reply = match serde_json::from_str::<Request>(line) {
             Ok(request) => self.answer(&request).await,
-            Err(error) => unreadable(error),
+            Err(error) => malformed(error),
         };
         serde_json::to_string(&reply).unwrap_or_default()
     }
 
     async fn answer(self: &Rc<Self>, request: &Request) -> Reply {
-        let wanted = request.instance.as_deref();
-        if let Some(name) = wanted {
+        let name_filter = request.instance.as_deref();
+        if let Some(name) = name_filter {
             if !self.running.borrow().iter().any(|running| running.name == name) {
                 return Reply::Error { why: format!("no instance is named '{name}'") };
             }
         }
         match request.command {
-            Command::Status => Reply::Status { instances: self.status(wanted) },
+            Command::Status => Reply::Status { instances: self.status(name_filter) },
             Command::Stats => {
                 let running = self.running.borrow();
-                let asked = running.iter().filter(|r| wanted.is_none_or(|name| r.name == name));
-                let counters = asked.map(|r| serde_json::to_value(r.instance.counters()).unwrap_or_default());
+                let selected = running.iter().filter(|r| name_filter.is_none_or(|name| r.name == name));
+                let counters =
+                    selected.map(|r| serde_json::to_value(r.instance.counters()).unwrap_or_default());
                 Reply::Stats { instances: counters.collect() }
             }
-            Command::Reload if wanted.is_some() => {
-                Reply::Error { why: "the file is reread for all instances or none".to_owned() }
+            Command::Reload if name_filter.is_some() => {
+                Reply::Error { why: "reload applies to all instances and takes no instance name".to_owned() }
             }
             Command::Reload => match self.reload().await {
                 Ok(()) => Reply::Status { instances: self.status(None) },
                 Err(why) => Reply::Error { why },
             },
-            Command::Ping => self.call(wanted, Call::Ping),
-            Command::Info => self.call(wanted, Call::Info),
-            Command::Lameduck | Command::Drain => self.call(wanted, Call::Lameduck),
-            Command::Rejoin => self.call(wanted, Call::Rejoin),
+            Command::Ping => self.run_console_command(name_filter, Call::Ping),
+            Command::Info => self.run_console_command(name_filter, Call::Info),
+            Command::Lameduck | Command::Drain => self.run_console_command(name_filter, Call::Lameduck),
+            Command::Rejoin => self.run_console_command(name_filter, Call::Rejoin),
             Command::Stop => {
-                self.ask_to_stop(wanted);
-                if wanted.is_none() {
-                    *self.end.borrow_mut() = true;
+                self.stop_instances(name_filter);
+                if name_filter.is_none() {
+                    *self.stopping.borrow_mut() = true;
                     self.changed.notify_one();
                 }
-                Reply::Status { instances: self.status(wanted) }
+                Reply::Status { instances: self.status(name_filter) }
             }
         }
     }
 
-    /// Calls instances as their consoles do. Those that have ended can do nothing any more.
-    fn call(&self, wanted: Option<&str>, call: Call) -> Reply {
+    /// Runs a console command at instances. It fails at those that have ended.
+    fn run_console_command(&self, name_filter: Option<&str>, call: Call) -> Reply {
         let running = self.running.borrow();
-        let asked = running.iter().filter(|r| wanted.is_none_or(|name| r.name == name));
-        let called = |r: &Running| match r.done.get() {
-            true => Answer::Failure("it has stopped".to_owned()),
+        let selected = running.iter().filter(|r| name_filter.is_none_or(|name| r.name == name));
+        let answer = |r: &RunningInstance| match r.ended.get() {
+            true => Answer::Failure("the instance has stopped".to_owned()),
             false => r.instance.called(call),
         };
-        let answers = asked.map(|r| ConsoleAnswer { name: r.name.clone(), answer: called(r).to_string() });
+        let answers = selected.map(|r| ConsoleAnswer { name: r.name.clone(), answer: answer(r).to_string() });
         Reply::ConsoleAnswers { instances: answers.collect() }
     }
 
-    fn ask_to_stop(&self, wanted: Option<&str>) {
-        for running in self.running.borrow().iter().filter(|r| wanted.is_none_or(|name| r.name == name)) {
+    fn stop_instances(&self, name_filter: Option<&str>) {
+        for running in self.running.borrow().iter().filter(|r| name_filter.is_none_or(|name| r.name == name))
+        {
             running.instance.begin_stop();
             running.stop.notify_one();
         }
     }
 
-    fn status(&self, wanted: Option<&str>) -> Vec<InstanceStatus> {
+    fn status(&self, name_filter: Option<&str>) -> Vec<InstanceStatus> {
         let running = self.running.borrow();
-        let asked = running.iter().filter(|r| wanted.is_none_or(|name| r.name == name));
-        let state = |r: &Running| match r.instance.phase() {
-            _ if r.done.get() => "stopped",
+        let selected = running.iter().filter(|r| name_filter.is_none_or(|name| r.name == name));
+        let state = |r: &RunningInstance| match r.instance.phase() {
+            _ if r.ended.get() => "stopped",
             Phase::Emptying { ends: true, .. } => "ending",
             Phase::Emptying { .. } if r.instance.empty() => "empty",
             Phase::Emptying { .. } => "emptying",
             Phase::Working if r.instance.ready() => "serving",
             Phase::Working => "waiting for a list",
         };
-        let servers = |r: &Running| {
-            r.instance.servers().into_iter().map(|line| ServerStatus {
-                host: line.host,
-                dial: line.address.to_string(),
-                state: match line.state {
+        let servers = |r: &RunningInstance| {
+            r.instance.servers().into_iter().map(|entry| ServerStatus {
+                host: entry.host,
+                dial: entry.address.to_string(),
+                state: match entry.state {
                     ServerState::Ready => "ready",
                     ServerState::Draining => "draining",
                     ServerState::Gone => "gone",
@@ -442,7 +456,7 @@
                 .to_owned(),
             })
         };
-        asked
+        selected
             .map(|r| InstanceStatus {
                 name: r.name.clone(),
                 state: state(r).to_owned(),
--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -1,4 +1,4 @@
-//! The tool's side of the control socket.
+//! The client of the control socket, used by the command line.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,47 +8,48 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::UnixStream;
 
-use crate::control::{Reply, Request, PATIENCE};
+use crate::control::{Reply, Request, REQUEST_TIMEOUT};
 use crate::counters::Counters;
 
-/// A control socket that does not answer.
+/// Why a request to the control socket failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// Nobody is there.
+    /// The connection failed.
     #[error("no agent answers at {}: {why}", path.display())]
-    Nobody {
-        /// Where.
+    NoAgent {
+        /// Path of the socket.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         why: io::Error,
     },
-    /// What came is no answer.
-    #[error("the agent's answer cannot be read: {0}")]
-    Answer(String),
+    /// The reply is missing or malformed.
+    #[error("no valid reply from the agent: {0}")]
+    InvalidReply(String),
 }
 
-/// Asks the agent at this socket.
+/// Sends a request to the agent at this socket, and returns its reply.
 pub async fn send_request(path: &Path, request: &Request) -> Result<Reply, RequestError> {
     exchange(path, request).await
 }
 
-/// Sends one request and reads its answer.
+/// Sends one request and reads its reply.
 pub(super) async fn exchange<Q: Serialize, A: DeserializeOwned>(
     path: &Path,
     request: &Q,
 ) -> Result<A, RequestError> {
-    let nobody = |why| RequestError::Nobody { path: path.to_owned(), why };
-    let mut stream = UnixStream::connect(path).await.map_err(nobody)?;
-    let mut line = serde_json::to_string(request).map_err(|e| RequestError::Answer(e.to_string()))?;
+    let no_agent = |why| RequestError::NoAgent { path: path.to_owned(), why };
+    let mut stream = UnixStream::connect(path).await.map_err(no_agent)?;
+    let mut line = serde_json::to_string(request).map_err(|e| RequestError::InvalidReply(e.to_string()))?;
     line.push('\n');
-    stream.write_all(line.as_bytes()).await.map_err(nobody)?;
+    stream.write_all(line.as_bytes()).await.map_err(no_agent)?;
     let mut text = String::new();
-    let read = tokio::time::timeout(PATIENCE, stream.read_to_string(&mut text)).await;
-    read.map_err(|_| RequestError::Answer("it did not come in time".to_owned()))?.map_err(nobody)?;
-    serde_json::from_str(&text).map_err(|e| RequestError::Answer(e.to_string()))
+    let read = tokio::time::timeout(REQUEST_TIMEOUT, stream.read_to_string(&mut text)).await;
+    read.map_err(|_| RequestError::InvalidReply(format!("no reply within {} s", REQUEST_TIMEOUT.as_secs())))?
+        .map_err(no_agent)?;
+    serde_json::from_str(&text).map_err(|e| RequestError::InvalidReply(e.to_string()))
 }
 
-/// The counters of an instance as one line of text.
+/// Formats the counters of an instance as one line of text.
 pub fn stats_line(counters: &serde_json::Value) -> String {
     serde_json::from_value::<Counters>(counters.clone()).map_or_else(|_| counters.to_string(), |c| c.line())
 }
--- a/src/control/replication.rs
+++ b/src/control/replication.rs
@@ -10,11 +10,11 @@
 use crate::instance::Instance;
 use crate::replication::{Dot, Epoch, Replica, SourceId, Stamp, MEMBER_PREFIX};
 
-/// What is asked.
+/// Operations on replicated configuration and membership.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Operation {
-    /// Give a key a value.
+    /// Set the value of a key.
     Set {
         /// The key.
         key: String,
@@ -26,11 +26,11 @@
         /// The key.
         key: String,
     },
-    /// The keys in force, and what is not.
+    /// Report the keys in force, the rejected ones and conflicts.
     Config,
-    /// The members.
+    /// Report the members.
     Members,
-    /// How far a change has come.
+    /// Report at which members a change is in force.
     Acknowledged {
         /// The change.
         change: ChangeId,
@@ -40,43 +40,43 @@
 /// A request about replication.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplicationRequest {
-    /// What is asked.
+    /// The operation.
     pub replication: Operation,
-    /// Of which instance; without it, of the only one that replicates.
+    /// Name of the instance; `None`: the only instance that has replicated configuration.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instance: Option<String>,
 }
 
-/// A change, as `SOURCE:EPOCH:NUMBER`; without the epoch: of the epoch that the controller asked knows.
+/// Identifies a change, as `SOURCE:EPOCH:NUMBER`. Without an epoch, the queried controller uses the epoch that it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ChangeId {
-    /// The number of its source.
+    /// Number of the source that made it.
     pub source: u8,
-    /// The epoch of the source's log.
+    /// Epoch of the source's log.
     pub epoch: Option<u32>,
-    /// Its number in the log.
+    /// Number in the source's log.
     pub number: u32,
 }
 
-/// A text that names no change.
+/// A malformed identifier of a change.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no change: SOURCE:NUMBER or SOURCE:EPOCH:NUMBER")]
+#[error("invalid change '{0}', expected SOURCE:NUMBER or SOURCE:EPOCH:NUMBER")]
 pub struct ChangeIdError(String);
 
 impl std::str::FromStr for ChangeId {
     type Err = ChangeIdError;
 
     fn from_str(text: &str) -> Result<ChangeId, ChangeIdError> {
-        let wrong = || ChangeIdError(text.to_owned());
+        let invalid = || ChangeIdError(text.to_owned());
         let parts: Vec<&str> = text.split(':').collect();
-        let number = |part: &str| part.parse::<u32>().map_err(|_| wrong());
+        let number = |part: &str| part.parse::<u32>().map_err(|_| invalid());
         let (source, epoch, last) = match parts[..] {
             [source, last] => (source, None, last),
             [source, epoch, last] => (source, Some(number(epoch)?), last),
-            _ => return Err(wrong()),
+            _ => return Err(invalid()),
         };
-        let source = source.parse().map_err(|_| wrong())?;
+        let source = source.parse().map_err(|_| invalid())?;
         Ok(ChangeId { source, epoch, number: number(last)? })
     }
 }
@@ -110,119 +110,119 @@
     }
 }
 
-/// A key with a value in force.
+/// A key whose value is in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryView {
     /// The key.
     pub key: String,
-    /// The value in force here.
+    /// The value in force at the queried controller.
     pub value: Value,
     /// The current change of the key.
     pub change: Option<ChangeId>,
-    /// When it was made, in milliseconds since 1970.
+    /// When that change was made, in Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// A key whose current value is not in force here.
+/// A key whose current value the queried controller has rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedView {
     /// The key.
     pub key: String,
-    /// Why.
+    /// The reason.
     pub why: String,
 }
 
-/// A change that lost against one made on another side.
+/// A change that was overridden by a concurrent one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConflictView {
     /// The key.
     pub key: String,
     /// The change that is current.
     pub winner: ChangeId,
-    /// The change that is not.
+    /// The change that was overridden.
     pub loser: ChangeId,
-    /// What the loser would have set; `null`: nothing, it deleted the key.
+    /// The value of the overridden change; `null` if it deleted the key.
     pub lost_value: Option<Value>,
 }
 
-/// The configuration that a replica holds.
+/// The replicated configuration of an instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigView {
-    /// The instance.
+    /// Name of the instance.
     pub instance: String,
-    /// Whether it has caught up with the others.
+    /// Whether it has caught up with the other members.
     pub caught_up: bool,
-    /// Keys with a value in force.
+    /// Keys whose value is in force.
     pub entries: Vec<EntryView>,
-    /// Keys whose current value is not in force here.
+    /// Keys whose current value is rejected.
     pub rejected: Vec<RejectedView>,
-    /// The latest conflicts.
+    /// The most recent conflicts.
     pub conflicts: Vec<ConflictView>,
-    /// The last change applied of each source.
+    /// The last change of each source that was applied.
     pub version: Vec<ChangeId>,
-    /// A hash of all entries, the same wherever they are the same.
+    /// Hash of all entries; equal at members with equal entries.
     pub hash: String,
 }
 
 /// A member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the names are self-explanatory
 pub struct MemberView {
     pub name: String,
     pub address: String,
     pub region: String,
     pub zone: String,
     pub service: String,
-    /// The number of the source that hears its heartbeats.
+    /// Number of the source to which it sends heartbeats.
     pub home: u8,
     pub incarnation: u32,
-    /// Its own number, if it is a source.
+    /// Number of the source, if the member is one.
     pub source: Option<u8>,
 }
 
-/// How far a change has come.
+/// The members at which a change is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcknowledgedView {
     /// The change.
     pub change: ChangeId,
-    /// Whether it is in force at every member.
+    /// Whether it is in force at all members.
     pub everywhere: bool,
-    /// Members that are not known to have it.
+    /// Number of members that have not confirmed it.
     pub missing: u32,
-    /// Some of them.
+    /// Names of some of them.
     pub missing_names: Vec<String>,
-    /// Members that have it and do not use it.
+    /// Number of members that have rejected it.
     pub rejecting: u32,
-    /// Some of them.
+    /// Names of some of them.
     pub rejecting_names: Vec<String>,
 }
 
-/// An answer.
+/// A reply.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "lowercase")]
 pub enum ReplicationReply {
-    /// To `set` and `unset`.
+    /// Reply to `set` and `unset`.
     Accepted {
-        /// The change that was made.
+        /// The change.
         change: ChangeId,
     },
-    /// To `config`.
+    /// Reply to `config`.
     Config(ConfigView),
-    /// To `members`.
+    /// Reply to `members`.
     Members {
-        /// The members, by name.
+        /// The members, sorted by name.
         members: Vec<MemberView>,
     },
-    /// To `acknowledged`.
+    /// Reply to `acknowledged`.
     Acknowledged(AcknowledgedView),
-    /// It could not be done.
+    /// The request failed.
     Error {
-        /// Why.
+        /// The reason.
         why: String,
     },
 }
 
-/// Asks the agent at this socket.
+/// Sends a request to the agent at this socket, and returns its reply.
 pub async fn send_replication_request(
     path: &Path,
     request: &ReplicationRequest,
@@ -233,31 +233,32 @@
 impl Agent {
     /// Answers a request about replication.
     pub(super) fn answer_replication(&self, request: &ReplicationRequest) -> ReplicationReply {
-        let answered = self.replicating(request.instance.as_deref());
-        let answered = answered.and_then(|instance| answer(&instance, &request.replication));
-        answered.unwrap_or_else(|why| ReplicationReply::Error { why })
+        let instance = self.replicating_instance(request.instance.as_deref());
+        let reply = instance.and_then(|instance| answer(&instance, &request.replication));
+        reply.unwrap_or_else(|why| ReplicationReply::Error { why })
     }
 
-    /// The instance that is asked.
-    fn replicating(&self, wanted: Option<&str>) -> Result<Instance, String> {
+    /// Returns the instance with this name, or the only one that has replicated configuration.
+    fn replicating_instance(&self, name: Option<&str>) -> Result<Instance, String> {
         let running = self.running.borrow();
-        let at_work = running.iter().filter(|r| !r.done.get());
-        if let Some(name) = wanted {
-            let found = at_work.map(|r| &r.instance).find(|instance| instance.name() == name);
+        let alive = running.iter().filter(|r| !r.ended.get());
+        if let Some(name) = name {
+            let found = alive.map(|r| &r.instance).find(|instance| instance.name() == name);
             return found.cloned().ok_or_else(|| format!("no instance is named '{name}'"));
         }
-        let replicating: Vec<&Instance> = at_work.map(|r| &r.instance).filter(|i| i.replicates()).collect();
+        let replicating: Vec<&Instance> = alive.map(|r| &r.instance).filter(|i| i.replicates()).collect();
         match replicating[..] {
             [] => Err("no instance has [instance.replication] in the file".to_owned()),
             [only] => Ok(only.clone()),
-            _ => Err("several instances replicate: name one".to_owned()),
+            _ => Err("several instances have [instance.replication]: name one of them".to_owned()),
         }
     }
 }
 
 fn answer(instance: &Instance, operation: &Operation) -> Result<ReplicationReply, String> {
     let accepted = |dot: Dot| ReplicationReply::Accepted { change: dot.into() };
-    let off = || format!("instance '{}' has no [instance.replication] in the file", instance.name());
+    let not_configured =
+        || format!("instance '{}' has no [instance.replication] in the file", instance.name());
     match operation {
         Operation::Set { key, value } => {
             instance.propose(key, Some(value.to_string().as_bytes())).map(accepted)
@@ -271,20 +272,21 @@
                 });
                 config_view(instance.name(), replica, rejected.collect())
             });
-            view.map(ReplicationReply::Config).ok_or_else(off)
+            view.map(ReplicationReply::Config).ok_or_else(not_configured)
         }
         Operation::Members => {
             let members = instance.replica(|replica, _| members_view(replica));
-            members.map(|members| ReplicationReply::Members { members }).ok_or_else(off)
+            members.map(|members| ReplicationReply::Members { members }).ok_or_else(not_configured)
         }
         Operation::Acknowledged { change } => {
             let view = instance.replica(|replica, _| acknowledged_view(replica, *change));
-            view.map(ReplicationReply::Acknowledged).ok_or_else(off)
+            view.map(ReplicationReply::Acknowledged).ok_or_else(not_configured)
         }
     }
 }
 
-fn json_of(value: &[u8]) -> Value {
+/// Parses a stored value; one that is not JSON is shown as text.
+fn json_or_text(value: &[u8]) -> Value {
     serde_json::from_slice(value).unwrap_or_else(|_| Value::from(String::from_utf8_lossy(value)))
 }
 
@@ -294,7 +296,7 @@
         let stamp: Option<Stamp> = replica.stamp(key);
         EntryView {
             key: key.to_owned(),
-            value: json_of(value),
+            value: json_or_text(value),
             change: stamp.map(|stamp| stamp.dot.into()),
             at_ms: stamp.map_or(0, |stamp| stamp.millis),
         }
@@ -303,7 +305,7 @@
         key: conflict.key.to_string(),
         winner: conflict.winner.dot.into(),
         loser: conflict.loser.dot.into(),
-        lost_value: conflict.lost_value.as_deref().map(json_of),
+        lost_value: conflict.lost_value.as_deref().map(json_or_text),
     });
     let version = replica.version().iter().filter(|(_, version)| version.number > 0);
     let last = |(source, version): (SourceId, crate::replication::SourceVersion)| ChangeId {
