--- a/src/cli.rs
+++ b/src/cli.rs
@@ -21,15 +21,15 @@
 use crate::signals::{self, Caught};
 use crate::takeover;
 
-/// Exit code where the program could not do its work.
+/// Exit code if the command failed.
 const FAILED: u8 = 1;
-/// Exit code of a bad configuration or command line.
+/// Exit code if the configuration or the command line is invalid.
 const BAD_CONFIG: u8 = 2;
-/// Exit code where no agent answers.
+/// Exit code if no agent or console answers.
 const NO_AGENT: u8 = 3;
 
-/// A session controller. Without a command it is the platform's, told by ROUTER_NAME, ROUTER_LISTEN and
-/// ROUTER_CONFIG.
+/// A session controller. Without a command it runs as the platform's controller, configured by ROUTER_NAME,
+/// ROUTER_LISTEN and ROUTER_CONFIG.
 #[derive(Debug, Parser)]
 #[command(name = "lockpoint", version)]
 struct Cli {
@@ -39,52 +39,52 @@
 
 #[derive(Debug, Subcommand)]
 enum Commands {
-    /// Run the instances that an operator's file lists.
+    /// Run the instances listed in an operator's file.
     Agent {
         /// The operator's file.
         #[arg(long)]
         config: PathBuf,
     },
-    /// Say whether an operator's file can be used.
+    /// Check whether an operator's file is valid.
     Check {
         /// The operator's file.
         file: PathBuf,
-        /// Answer in JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// What the agent's instances do and which call servers they know.
+    /// Print the state of the agent's instances and of the call servers that they know.
     Status(Ask),
-    /// The agent's counters.
+    /// Print the counters of the agent's instances.
     Stats(Ask),
-    /// Let the agent reread its file, as SIGHUP does.
+    /// Make the agent reread its file, as SIGHUP does.
     Reload(Ask),
-    /// Can a controller serve?
+    /// Check whether a controller can serve callers.
     Ping(Call),
-    /// The figures of a controller.
+    /// Print the metrics of a controller.
     Info(Call),
-    /// Send callers away from a controller; it stays, and `rejoin` brings it back.
+    /// Send callers away from a controller, which keeps running until `rejoin` or `stop`.
     #[command(alias = "drain")]
     Lameduck(Call),
-    /// Bring a controller back to work.
+    /// Let a controller accept callers again after `lameduck`.
     Rejoin(Call),
-    /// What controllers know together.
+    /// Query and change the state that controllers share.
     #[command(subcommand)]
     Fleet(FleetCommands),
-    /// The records of a controller that does not run.
+    /// Inspect the records of a controller that is not running.
     #[command(subcommand)]
     Store(StoreCommands),
-    /// Let instances finish what they took and end; without an instance named, the agent ends too.
+    /// Stop instances once all their pending calls are answered; if no instance is named, the agent stops too.
     Stop(Ask),
 }
 
 #[derive(Debug, Subcommand)]
 enum StoreCommands {
-    /// How much is there.
+    /// Print the number and size of the records.
     Info(Records),
-    /// Whether all checksums fit and all records can be read.
+    /// Verify all checksums, and that all records can be read.
     Verify(Records),
-    /// All records, one a line.
+    /// Print all records, one per line.
     Dump(Records),
 }
 
@@ -92,16 +92,16 @@
 struct Records {
     /// The file that `[instance.store]` names.
     file: PathBuf,
-    /// Answer in JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Debug, Subcommand)]
 enum FleetCommands {
-    /// The state of the call servers as known to the fleet and to this controller, and the permits it holds.
+    /// Print the state of the call servers as known to the fleet and to this controller, and the permits that it holds.
     Limits(Call),
-    /// Give a replicated setting a value, at a source: KEY is all/PATH or service/SERVICE/PATH, VALUE is JSON.
+    /// Set a replicated setting, at a source. KEY is all/PATH or service/SERVICE/PATH, VALUE is JSON.
     Set {
         /// The key.
         key: String,
@@ -117,11 +117,11 @@
         #[command(flatten)]
         wait: replication::Wait,
     },
-    /// The replicated settings in force, what is not in force, and conflicts.
+    /// Print the replicated settings in force, the rejected ones and conflicts.
     Config(replication::Target),
-    /// The members.
+    /// Print the members.
     Members(replication::Target),
-    /// Whether a change is in force everywhere, and where not.
+    /// Check whether a change is in force at all members, and print those where it is not.
     Acknowledged {
         /// The change, as SOURCE:NUMBER or SOURCE:EPOCH:NUMBER.
         change: ChangeId,
@@ -132,12 +132,12 @@
 
 #[derive(Debug, Args)]
 struct Ask {
-    /// One instance; all where none is named.
+    /// Name of an instance; all instances if it is left out.
     instance: Option<String>,
     /// The agent's control socket.
     #[arg(long, env = "LOCKPOINT_CONTROL", default_value = "lockpoint.sock")]
     control: PathBuf,
-    /// Answer in JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
@@ -146,12 +146,12 @@
 struct Call {
     #[command(flatten)]
     ask: Ask,
-    /// The console of one controller, such as the platform's, in place of the agent.
+    /// Address of a controller's console, such as that of the platform's controller, to query instead of the agent.
     #[arg(long, conflicts_with = "instance")]
     console: Option<SocketAddr>,
 }
 
-/// Does what the command line says.
+/// Runs the command line.
 pub fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
@@ -162,32 +162,34 @@
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return complain(FAILED, &format!("cannot start: {error}")),
+        Err(error) => return complain(FAILED, &format!("cannot start the async runtime: {error}")),
     };
     match cli.command {
         None => runtime.block_on(platform()),
         Some(Commands::Agent { config }) => LocalSet::new().block_on(&runtime, agent(config)),
         Some(Commands::Check { file, json }) => check(&file, json),
-        Some(Commands::Status(ask)) => runtime.block_on(put(Command::Status, ask)),
-        Some(Commands::Stats(ask)) => runtime.block_on(put(Command::Stats, ask)),
-        Some(Commands::Reload(ask)) => runtime.block_on(put(Command::Reload, ask)),
-        Some(Commands::Ping(call)) => runtime.block_on(call_to(Command::Ping, call)),
-        Some(Commands::Info(call)) => runtime.block_on(call_to(Command::Info, call)),
-        Some(Commands::Lameduck(call)) => runtime.block_on(call_to(Command::Lameduck, call)),
-        Some(Commands::Rejoin(call)) => runtime.block_on(call_to(Command::Rejoin, call)),
-        Some(Commands::Fleet(command)) => runtime.block_on(about_fleet(command)),
-        Some(Commands::Store(command)) => records(command),
-        Some(Commands::Stop(ask)) => runtime.block_on(put(Command::Stop, ask)),
+        Some(Commands::Status(ask)) => runtime.block_on(run_agent_command(Command::Status, ask)),
+        Some(Commands::Stats(ask)) => runtime.block_on(run_agent_command(Command::Stats, ask)),
+        Some(Commands::Reload(ask)) => runtime.block_on(run_agent_command(Command::Reload, ask)),
+        Some(Commands::Ping(call)) => runtime.block_on(run_console_command(Command::Ping, call)),
+        Some(Commands::Info(call)) => runtime.block_on(run_console_command(Command::Info, call)),
+        Some(Commands::Lameduck(call)) => runtime.block_on(run_console_command(Command::Lameduck, call)),
+        Some(Commands::Rejoin(call)) => runtime.block_on(run_console_command(Command::Rejoin, call)),
+        Some(Commands::Fleet(command)) => runtime.block_on(fleet_command(command)),
+        Some(Commands::Store(command)) => store_command(command),
+        Some(Commands::Stop(ask)) => runtime.block_on(run_agent_command(Command::Stop, ask)),
     }
 }
 
-fn complain(code: u8, what: &str) -> ExitCode {
-    eprintln!("lockpoint: {}", what.replace('\n', " "));
+/// Prints an error on one line and returns the exit code.
+fn complain(code: u8, error: &str) -> ExitCode {
+    eprintln!("lockpoint: {}", error.replace('\n', " "));
     ExitCode::from(code)
 }
 
-/// SIGTERM and SIGINT, listened for from this call on: what was taken in the first moments is answered too.
-fn told_to_stop() -> impl std::future::Future<Output = ()> {
+/// Completes on SIGTERM or SIGINT. The signals are caught from this call on, so that calls taken right after the start are
+/// answered before the process ends.
+fn stop_signal() -> impl std::future::Future<Output = ()> {
     let caught = Caught::of(&[signals::TERMINATE, signals::INTERRUPT]);
     async move {
         match caught {
@@ -197,12 +199,13 @@
     }
 }
 
-/// SIGHUP: a new configuration. It is listened for from the first moment on, or it would end the program.
-struct Reloads(Option<Caught>);
+/// SIGHUP, which reloads the configuration. It must be caught from the start of the process, since uncaught it ends the
+/// process.
+struct ReloadSignal(Option<Caught>);
 
-impl Reloads {
-    fn new() -> Reloads {
-        Reloads(Caught::of(&[signals::HANG_UP]).ok())
+impl ReloadSignal {
+    fn new() -> ReloadSignal {
+        ReloadSignal(Caught::of(&[signals::HANG_UP]).ok())
     }
     async fn next(&mut self) {
         match &mut self.0 {
@@ -212,10 +215,10 @@
     }
 }
 
-/// Does `reload` each time that SIGHUP comes; never returns.
-async fn on_reload(mut reloads: Reloads, reload: impl Fn()) {
+/// Calls `reload` on each SIGHUP; never returns.
+async fn on_reload(mut signal: ReloadSignal, reload: impl Fn()) {
     loop {
-        reloads.next().await;
+        signal.next().await;
         reload();
     }
 }
@@ -224,13 +227,13 @@
     config::from_platform(|name| std::env::var(name).ok())
 }
 
-/// Rereads the platform's configuration; a bad one is reported and the old one kept.
+/// Rereads the platform's configuration. An invalid one is logged, and the previous one stays in use.
 fn reload_platform(instance: &Instance) {
     match platform_config() {
         Ok(config) => {
-            let kept = instance.reload(config);
-            if !kept.is_empty() {
-                tracing::warn!("only a restart can change {}", kept.join(", "));
+            let unchanged = instance.reload(config);
+            if !unchanged.is_empty() {
+                tracing::warn!("only a restart can change {}", unchanged.join(", "));
             }
         }
         Err(error) => {
@@ -241,7 +244,7 @@
 }
 
 async fn platform() -> ExitCode {
-    let (reloads, stop) = (Reloads::new(), told_to_stop());
+    let (reload_signal, stop) = (ReloadSignal::new(), stop_signal());
     let config = match platform_config() {
         Ok(config) => config,
         Err(error) => return complain(BAD_CONFIG, &error.to_string()),
@@ -259,7 +262,7 @@
             let instance = bound.handle();
             let counters = tokio::select! {
                 counters = bound.run(stop) => counters,
-                () = on_reload(reloads, || reload_platform(&instance)) => instance.counters(),
+                () = on_reload(reload_signal, || reload_platform(&instance)) => instance.counters(),
             };
             tracing::info!("{}", counters.line());
             ExitCode::SUCCESS
@@ -268,15 +271,15 @@
     }
 }
 
-/// Where predecessor and successor meet, if one may come: only where the platform holds the callers' listener
-/// (`$ROUTER_FD`) and both share `$TMPDIR`. Elsewhere a restart begins from nothing, and no Unix socket is opened,
-/// since a platform that does not hand the listener on starts no successor beside its predecessor.
+/// Returns the directory of the takeover socket, if a takeover is possible: only if the platform passes on the callers'
+/// listener (`$ROUTER_FD`) and both processes share `$TMPDIR`. Otherwise a restart begins with empty state, and no Unix
+/// socket is opened, since a platform that does not pass the listener on starts no successor beside its predecessor.
 pub fn takeover_directory(config: &InstanceConfig, tmpdir: Option<std::ffi::OsString>) -> Option<PathBuf> {
     config.inherited_fd.and(tmpdir).map(PathBuf::from)
 }
 
 async fn agent(file: PathBuf) -> ExitCode {
-    let (reloads, stop) = (Reloads::new(), told_to_stop());
+    let (reload_signal, stop) = (ReloadSignal::new(), stop_signal());
     let config = match config::from_file(&file) {
         Ok(config) => config,
         Err(error) => return complain(BAD_CONFIG, &error.to_string()),
@@ -289,7 +292,7 @@
     let running = control::run(file, config, stop, &reload);
     let ended = tokio::select! {
         ended = running => ended,
-        () = on_reload(reloads, || reload.notify_one()) => Ok(()),
+        () = on_reload(reload_signal, || reload.notify_one()) => Ok(()),
     };
     match ended {
         Ok(()) => ExitCode::SUCCESS,
@@ -322,36 +325,37 @@
     }
 }
 
-/// Calls the instances of an agent, or the one controller whose console is named.
-async fn call_to(command: Command, call: Call) -> ExitCode {
-    let Some(console) = call.console else { return put(command, call.ask).await };
+/// Runs a console command at instances of the agent, or at the controller whose console is given.
+async fn run_console_command(command: Command, call: Call) -> ExitCode {
+    let Some(console) = call.console else { return run_agent_command(command, call.ask).await };
     match ask_console(command, console).await {
-        Ok(called) => shown(&[called], call.ask.json),
+        Ok(answer) => print_console_answers(&[answer], call.ask.json),
         Err(code) => code,
     }
 }
 
+/// Sends a command to the console at this address.
 async fn ask_console(command: Command, console: SocketAddr) -> Result<ConsoleAnswer, ExitCode> {
-    let what = match command {
+    let console_command = match command {
         Command::Info => console::Call::Info,
         Command::Lameduck => console::Call::Lameduck,
         Command::Rejoin => console::Call::Rejoin,
         _ => console::Call::Ping,
     };
-    let answer = console::ask(console, what).await;
+    let answer = console::ask(console, console_command).await;
     let answer =
         answer.map_err(|error| complain(NO_AGENT, &format!("no console answers at {console}: {error}")))?;
     Ok(ConsoleAnswer { name: console.to_string(), answer })
 }
 
-/// Looks into records.
-fn records(command: StoreCommands) -> ExitCode {
-    let looked = match command {
+/// Inspects the records of a controller.
+fn store_command(command: StoreCommands) -> ExitCode {
+    let result = match command {
         StoreCommands::Info(Records { file, json }) => store::info(&file, json).map(|text| (true, text)),
         StoreCommands::Verify(Records { file, json }) => store::verify(&file, json),
         StoreCommands::Dump(Records { file, json }) => store::dump(&file, json).map(|text| (true, text)),
     };
-    match looked {
+    match result {
         Ok((ok, text)) => {
             println!("{text}");
             if ok {
@@ -364,7 +368,7 @@
     }
 }
 
-async fn about_fleet(command: FleetCommands) -> ExitCode {
+async fn fleet_command(command: FleetCommands) -> ExitCode {
     match command {
         FleetCommands::Limits(call) => fleet_limits(call).await,
         FleetCommands::Set { key, value, wait } => replication::set(key, &value, wait).await,
@@ -375,22 +379,22 @@
     }
 }
 
-/// Prints what controllers know together, from their figures.
+/// Prints the state of the call servers as known to the fleet, taken from the controllers' metrics.
 async fn fleet_limits(call: Call) -> ExitCode {
-    let called = match call.console {
-        Some(console) => ask_console(Command::Info, console).await.map(|called| vec![called]),
+    let answers = match call.console {
+        Some(console) => ask_console(Command::Info, console).await.map(|answer| vec![answer]),
         None => {
             let request = Request { command: Command::Info, instance: call.ask.instance };
             match control::send_request(&call.ask.control, &request).await {
                 Ok(Reply::ConsoleAnswers { instances }) => Ok(instances),
                 Ok(Reply::Error { why }) => Err(complain(FAILED, &why)),
-                Ok(other) => Err(complain(FAILED, &format!("the agent answered {other:?}"))),
+                Ok(other) => Err(complain(FAILED, &format!("unexpected reply from the agent: {other:?}"))),
                 Err(error) => Err(complain(NO_AGENT, &error.to_string())),
             }
         }
     };
-    let limits: Vec<fleet::Limits> = match called {
-        Ok(called) => called.iter().map(fleet::read).collect(),
+    let limits: Vec<fleet::Limits> = match answers {
+        Ok(answers) => answers.iter().map(fleet::read).collect(),
         Err(code) => return code,
     };
     if call.ask.json {
@@ -401,22 +405,23 @@
     ExitCode::SUCCESS
 }
 
-/// Prints what controllers answered to a call; one that said no makes the tool say so.
-fn shown(answers: &[ConsoleAnswer], json: bool) -> ExitCode {
+/// Prints the controllers' answers to a console command. The exit code is that of failure if any of them failed.
+fn print_console_answers(answers: &[ConsoleAnswer], json: bool) -> ExitCode {
     if json {
         println!("{}", serde_json::to_string(answers).unwrap_or_default());
     } else {
-        answers.iter().for_each(|called| println!("{}  {}", called.name, called.answer.trim_end()));
+        answers.iter().for_each(|answer| println!("{}  {}", answer.name, answer.answer.trim_end()));
     }
-    let all = !answers.is_empty() && answers.iter().all(|called| called.answer.starts_with("SUCCESS"));
-    if all {
+    let succeeded = !answers.is_empty() && answers.iter().all(|answer| answer.answer.starts_with("SUCCESS"));
+    if succeeded {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(FAILED)
     }
 }
 
-async fn put(command: Command, ask: Ask) -> ExitCode {
+/// Sends a command to the agent and prints its reply.
+async fn run_agent_command(command: Command, ask: Ask) -> ExitCode {
     let request = Request { command, instance: ask.instance };
     let reply = match control::send_request(&ask.control, &request).await {
         Ok(reply) => reply,
@@ -426,7 +431,7 @@
         return complain(FAILED, why);
     }
     if let Reply::ConsoleAnswers { instances } = &reply {
-        return shown(instances, ask.json);
+        return print_console_answers(instances, ask.json);
     }
     if ask.json {
         println!("{}", serde_json::to_string(&reply).unwrap_or_default());
@@ -435,11 +440,11 @@
     match reply {
         Reply::Status { instances } => {
             for i in instances {
-                let at = |name: &str, at: Option<String>| {
-                    at.map(|at| format!("  {name} {at}")).unwrap_or_default()
+                let field = |name: &str, address: Option<String>| {
+                    address.map(|address| format!("  {name} {address}")).unwrap_or_default()
                 };
-                let (listen, iax2) = (at("listen", i.listen), at("iax2", i.iax2));
-                println!("{}  {}{listen}{iax2}{}", i.name, i.state, at("console", i.console));
+                let (listen, iax2) = (field("listen", i.listen), field("iax2", i.iax2));
+                println!("{}  {}{listen}{iax2}{}", i.name, i.state, field("console", i.console));
                 for server in i.servers {
                     println!("    {}  {}  {}", server.host, server.dial, server.state);
                 }
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,5 +1,5 @@
-//! `lockpoint fleet limits`: the state of the call servers as known to a controller and to the fleet. It is read from the
-//! controller's figures, so that agents and consoles are queried alike.
+//! `lockpoint fleet limits`: the state of the call servers as known to a controller and to the fleet. It is taken from the
+//! controller's metrics, so that agents and consoles are queried in the same way.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,73 +8,73 @@
 
 use crate::control::ConsoleAnswer;
 
-/// Credit figures count 1/256 of a permit.
-const PARTS_PER_PERMIT: f64 = 256.0;
+/// Metrics of lent and borrowed permits are in units of 1/256 permit.
+const UNITS_PER_PERMIT: f64 = 256.0;
 
-/// One controller's figures of the fleet.
+/// One controller's metrics of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Limits {
     /// Name of the controller.
     pub name: String,
     /// Whether it is a member of a fleet.
     pub shares: bool,
-    /// Peers alive.
+    /// Number of peers that are alive.
     pub peers_alive: u64,
-    /// Peers that were alive and are lost.
+    /// Number of peers that were alive and are lost.
     pub peers_lost: u64,
-    /// Bytes sent since its start.
+    /// Bytes sent since the controller's start.
     pub bytes: u64,
     /// Gossip rounds deferred because the byte budget was used up.
     pub rounds_deferred: u64,
     /// Permits lent to peers, in calls.
     pub lent: f64,
-    /// Permits borrowed in time, in calls.
+    /// Permits borrowed from peers and received in time, in calls.
     pub borrowed: f64,
-    /// Permits granted by peers but received too late to count, in calls.
+    /// Permits granted by peers but received too late to be used, in calls.
     pub too_late: f64,
     /// The call servers, by name.
     pub servers: Vec<ServerLimits>,
 }
 
-/// A controller's figures of one call server; `None` where it has no recent observation.
+/// A controller's metrics of one call server; `None` if it has no recent observation.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct ServerLimits {
     /// Host name.
     pub host: String,
-    /// The wait by the newest observation of any controller, in milliseconds.
+    /// Wait according to the newest observation of any controller, in milliseconds.
     pub wait_ms: Option<u64>,
-    /// Whether by that observation it does not answer.
+    /// Whether that observation is that the call server does not answer.
     pub silent: bool,
     /// Age of that observation, in milliseconds.
     pub age_ms: Option<u64>,
     /// Index of the controller that made it.
     pub origin: Option<u64>,
-    /// The wait by this controller's own last observation, in milliseconds.
+    /// Wait according to this controller's own last observation, in milliseconds.
     pub own_wait_ms: Option<u64>,
-    /// Whether a peer's directory lists it as taking no new calls, and this controller's does not yet.
+    /// Whether a peer's directory lists it as taking no new calls, while this controller's directory does not yet.
     pub warned: bool,
-    /// Permits held to send calls to it, in calls; `None`: it needs none.
+    /// Permits held for it, in calls; `None`: it needs none.
     pub permits: Option<f64>,
 }
 
-/// Reads the fleet figures out of a controller's answer.
-pub fn read(called: &ConsoleAnswer) -> Limits {
-    let figure = |line: &str| {
+/// Extracts the fleet metrics from a controller's answer to `INFO`.
+pub fn read(answer: &ConsoleAnswer) -> Limits {
+    let parse = |line: &str| {
         let (name, rest) = line.strip_prefix("controller.fleet.")?.rsplit_once(':')?;
         Some((name.to_owned(), rest.split('|').next()?.parse::<u64>().ok()?))
     };
-    let figures: BTreeMap<String, u64> = called.answer.lines().filter_map(figure).collect();
-    let one = |name: &str| figures.get(name).copied().unwrap_or(0);
-    let calls = |name: &str| one(name) as f64 / PARTS_PER_PERMIT;
+    let metrics: BTreeMap<String, u64> = answer.answer.lines().filter_map(parse).collect();
+    let value_of = |name: &str| metrics.get(name).copied().unwrap_or(0);
+    let permits = |name: &str| value_of(name) as f64 / UNITS_PER_PERMIT;
     let mut servers: BTreeMap<String, ServerLimits> = BTreeMap::new();
-    for (name, value) in &figures {
-        // A host name has dots of its own; the figure's name has none.
-        let Some((host, figure)) = name.strip_prefix("server.").and_then(|rest| rest.rsplit_once('.')) else {
+    for (name, value) in &metrics {
+        // A host name may contain dots; the name of a metric does not.
+        let Some((host, metric)) = name.strip_prefix("server.").and_then(|rest| rest.rsplit_once('.')) else {
             continue;
         };
         let entry = servers.entry(host.to_owned()).or_default();
         entry.host = host.to_owned();
-        match figure {
+        match metric {
             "wait_ms" => entry.wait_ms = Some(*value),
             "silent" => entry.silent = *value > 0,
             "age_ms" => entry.age_ms = Some(*value),
@@ -86,24 +86,24 @@
         }
     }
     Limits {
-        name: called.name.clone(),
-        shares: figures.contains_key("sent"),
-        peers_alive: one("peers_alive"),
-        peers_lost: one("peers_lost"),
-        bytes: one("bytes"),
-        rounds_deferred: one("rounds_deferred"),
-        lent: calls("permits_lent_256ths"),
-        borrowed: calls("permits_borrowed_256ths"),
-        too_late: calls("permits_too_late_256ths"),
+        name: answer.name.clone(),
+        shares: metrics.contains_key("sent"),
+        peers_alive: value_of("peers_alive"),
+        peers_lost: value_of("peers_lost"),
+        bytes: value_of("bytes"),
+        rounds_deferred: value_of("rounds_deferred"),
+        lent: permits("permits_lent_256ths"),
+        borrowed: permits("permits_borrowed_256ths"),
+        too_late: permits("permits_too_late_256ths"),
         servers: servers.into_values().collect(),
     }
 }
 
-/// Formats the figures as a table; `-` stands for a missing figure.
+/// Formats the metrics as a table; `-` stands for a missing value.
 pub fn table(limits: &Limits) -> String {
     let mut text = String::new();
     if !limits.shares {
-        let _ = writeln!(text, "{}  not in a fleet: no [instance.fleet] in its file", limits.name);
+        let _ = writeln!(text, "{}  not in a fleet: its file has no [instance.fleet]", limits.name);
         return text;
     }
     let _ = writeln!(
@@ -123,7 +123,7 @@
         "    {:<24} {:>10} {:>8} {:>6} {:>10} {:>7} {:>7}",
         "call server", "fleet ms", "age ms", "origin", "own ms", "permits", "warned"
     );
-    let or_dash = |figure: Option<u64>| figure.map_or_else(|| "-".to_owned(), |figure| figure.to_string());
+    let or_dash = |value: Option<u64>| value.map_or_else(|| "-".to_owned(), |value| value.to_string());
     for server in &limits.servers {
         let fleet = if server.silent { "silent".to_owned() } else { or_dash(server.wait_ms) };
         let permits = server.permits.map_or_else(|| "-".to_owned(), |permits| format!("{permits:.2}"));
--- a/src/cli/fleet/tests.rs
+++ b/src/cli/fleet/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn figures_are_formatted_as_a_table_with_dashes_for_missing_ones() {
+fn metrics_are_formatted_as_a_table_with_dashes_for_missing_values() {
     let answer = "SUCCESS figures follow\ncontroller.pending:3|g\ncontroller.fleet.sent:4|c\n\
         controller.fleet.permits_lent_256ths:384|c\ncontroller.fleet.server.a.example.wait_ms:70|g\n\
         controller.fleet.server.a.example.age_ms:9|g\ncontroller.fleet.server.a.example.origin:2|g\n\
--- a/src/cli/replication.rs
+++ b/src/cli/replication.rs
@@ -14,19 +14,19 @@
     ReplicationReply, ReplicationRequest,
 };
 
-/// How often a source is asked how far a change has come.
-const ASK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between queries whether a change is in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Which agent and instance are asked.
+/// The agent and the instance that are queried.
 #[derive(Debug, Args)]
 pub struct Target {
-    /// One instance; may be left out where only one replicates.
+    /// Name of the instance; may be left out if only one has replicated configuration.
     #[arg(long)]
     instance: Option<String>,
     /// The agent's control socket.
     #[arg(long, env = "LOCKPOINT_CONTROL", default_value = "lockpoint.sock")]
     control: PathBuf,
-    /// Answer in JSON.
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
@@ -36,16 +36,16 @@
 pub struct Wait {
     #[command(flatten)]
     target: Target,
-    /// Wait so many seconds until the change is in force everywhere.
+    /// Wait up to this many seconds until the change is in force at all members.
     #[arg(long, value_name = "SECONDS")]
     wait: Option<u64>,
 }
 
-/// Gives a key a value.
+/// Sets the value of a key.
 pub async fn set(key: String, value: &str, wait: Wait) -> ExitCode {
     match serde_json::from_str::<Value>(value) {
         Ok(value) => change(Operation::Set { key, value }, wait).await,
-        Err(error) => complain(BAD_CONFIG, &format!("the value is no JSON: {error}")),
+        Err(error) => complain(BAD_CONFIG, &format!("the value is not valid JSON: {error}")),
     }
 }
 
@@ -54,7 +54,7 @@
     change(Operation::Unset { key }, wait).await
 }
 
-/// Prints the keys in force.
+/// Prints the replicated settings.
 pub async fn config(target: Target) -> ExitCode {
     match ask(&target, Operation::Config).await {
         Ok(ReplicationReply::Config(view)) => print(&target, &view, config_table),
@@ -70,12 +70,12 @@
     }
 }
 
-/// Prints how far a change has come; fails where it is not in force everywhere.
+/// Prints at which members a change is not in force; fails if there are any.
 pub async fn acknowledged(change: ChangeId, target: Target) -> ExitCode {
     match ask(&target, Operation::Acknowledged { change }).await {
         Ok(ReplicationReply::Acknowledged(view)) => {
             print(&target, &view, acknowledged_line);
-            code_of(&view)
+            exit_code(&view)
         }
         other => unexpected(other),
     }
@@ -90,14 +90,14 @@
     let Some(seconds) = wait else {
         return print(&target, &ReplicationReply::Accepted { change }, |_| format!("accepted as {change}\n"));
     };
-    let end = Instant::now() + Duration::from_secs(seconds);
+    let deadline = Instant::now() + Duration::from_secs(seconds);
     loop {
         match ask(&target, Operation::Acknowledged { change }).await {
-            Ok(ReplicationReply::Acknowledged(view)) if view.everywhere || Instant::now() >= end => {
+            Ok(ReplicationReply::Acknowledged(view)) if view.everywhere || Instant::now() >= deadline => {
                 print(&target, &view, acknowledged_line);
-                return code_of(&view);
+                return exit_code(&view);
             }
-            Ok(ReplicationReply::Acknowledged(_)) => tokio::time::sleep(ASK_INTERVAL).await,
+            Ok(ReplicationReply::Acknowledged(_)) => tokio::time::sleep(POLL_INTERVAL).await,
             other => return unexpected(other),
         }
     }
@@ -109,15 +109,16 @@
     reply.map_err(|error| complain(NO_AGENT, &error.to_string()))
 }
 
+/// Reports an error reply, or one of the wrong kind.
 fn unexpected(reply: Result<ReplicationReply, ExitCode>) -> ExitCode {
     match reply {
         Err(code) => code,
         Ok(ReplicationReply::Error { why }) => complain(FAILED, &why),
-        Ok(other) => complain(FAILED, &format!("the agent answered {other:?}")),
+        Ok(other) => complain(FAILED, &format!("unexpected reply from the agent: {other:?}")),
     }
 }
 
-fn code_of(view: &AcknowledgedView) -> ExitCode {
+fn exit_code(view: &AcknowledgedView) -> ExitCode {
     if view.everywhere {
         ExitCode::SUCCESS
     } else {
@@ -140,7 +141,7 @@
     }
     let (missing, rejecting) = (view.missing_names.join(", "), view.rejecting_names.join(", "));
     format!(
-        "{} is missing at {} ({missing}) and not usable at {} ({rejecting})\n",
+        "{} is missing at {} ({missing}) and rejected by {} ({rejecting})\n",
         view.change, view.missing, view.rejecting
     )
 }
@@ -153,12 +154,12 @@
         text += &format!("    {}  {}  change {change}  at {}\n", entry.key, entry.value, entry.at_ms);
     }
     for rejected in &view.rejected {
-        text += &format!("    not in force: {}: {}\n", rejected.key, rejected.why);
+        text += &format!("    rejected: {}: {}\n", rejected.key, rejected.why);
     }
     for conflict in &view.conflicts {
         let lost = conflict.lost_value.as_ref().map_or_else(|| "deleted".to_owned(), Value::to_string);
         text += &format!(
-            "    conflict: {}  {} went before {} ({lost})\n",
+            "    conflict: {}  {} overrode {} ({lost})\n",
             conflict.key, conflict.winner, conflict.loser
         );
     }
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -1,4 +1,4 @@
-//! `lockpoint store`: looks into the records of a controller that does not run.
+//! `lockpoint store`: inspects the records of a controller that is not running.
 
 use std::path::Path;
 
@@ -6,9 +6,9 @@
 
 use crate::recovery::records::Records;
 
-/// What is there, in a line or as JSON.
+/// Formats the statistics of the store, as one line or as JSON.
 pub fn info(file: &Path, json: bool) -> Result<String, StoreError> {
-    let info = existing(file)?.info()?;
+    let info = open_existing(file)?.info()?;
     if json {
         return Ok(serde_json::to_string(&info).unwrap_or_default());
     }
@@ -22,29 +22,26 @@
     ))
 }
 
-/// Whether all checksums fit, and every record can be read.
+/// Verifies all checksums, and that every record can be read.
 pub fn verify(file: &Path, json: bool) -> Result<(bool, String), StoreError> {
-    let mut store = existing(file)?;
-    let sums = store.verify()?;
-    let unreadable = found(&store)?.unreadable;
-    let ok = sums && unreadable == 0;
+    let mut store = open_existing(file)?;
+    let checksums = store.verify()?;
+    let unreadable = read_records(&store)?.unreadable;
+    let ok = checksums && unreadable == 0;
     if json {
-        let text = serde_json::json!({"ok": ok, "checksums": sums, "unreadable": unreadable});
+        let text = serde_json::json!({"ok": ok, "checksums": checksums, "unreadable": unreadable});
         return Ok((ok, text.to_string()));
     }
-    let sums = if sums {
-        "all checksums fit"
-    } else {
-        "checksums did not fit: it was brought back to the last state that does"
-    };
-    Ok((ok, format!("{}: {sums}; {unreadable} records cannot be read", file.display())))
+    let checksums =
+        if checksums { "all checksums match" } else { "checksum mismatch, restored to the last valid state" };
+    Ok((ok, format!("{}: {checksums}; {unreadable} records cannot be read", file.display())))
 }
 
-/// The records, one a line.
+/// Formats the records, one per line.
 pub fn dump(file: &Path, json: bool) -> Result<String, StoreError> {
-    let found = found(&existing(file)?)?;
+    let records = read_records(&open_existing(file)?)?;
     let mut lines = Vec::new();
-    for (sid, call) in &found.calls {
+    for (sid, call) in &records.calls {
         lines.push(match json {
             true => serde_json::json!({"call": sid.as_str(), "stands": call}).to_string(),
             false => format!(
@@ -53,20 +50,20 @@
             ),
         });
     }
-    for (sid, cause) in &found.pending_releases {
+    for (sid, cause) in &records.pending_releases {
         lines.push(match json {
             true => serde_json::json!({"call": sid.as_str(), "owed": cause}).to_string(),
             false => format!("call {sid} owes a release with cause {cause}"),
         });
     }
-    for kept in &found.directory {
+    for record in &records.directory {
         lines.push(match json {
-            true => serde_json::json!({"listed": kept}).to_string(),
+            true => serde_json::json!({"listed": record}).to_string(),
             false => {
-                let line = &kept.entry;
+                let entry = &record.entry;
                 format!(
                     "{} {} {:?} told {} ms, born {} ms",
-                    line.host, line.address, line.state, kept.listed_ms, line.started_ms
+                    entry.host, entry.address, entry.state, record.listed_ms, entry.started_ms
                 )
             }
         });
@@ -74,15 +71,15 @@
     Ok(lines.join("\n"))
 }
 
-/// A store that is there: looking must not make one.
-fn existing(file: &Path) -> Result<Store, StoreError> {
+/// Opens a store that exists; inspecting one must not create it.
+fn open_existing(file: &Path) -> Result<Store, StoreError> {
     match file.exists() {
         true => Store::open(file),
-        false => Err(StoreError::Storage(format!("{}: there is no such file", file.display()))),
+        false => Err(StoreError::Storage(format!("{}: no such file", file.display()))),
     }
 }
 
-fn found(store: &Store) -> Result<Records, StoreError> {
+fn read_records(store: &Store) -> Result<Records, StoreError> {
     let items = store.scan(b"")?;
     Ok(Records::read(items.iter().map(|(key, value)| (key.as_slice(), value.as_slice()))))
 }
