--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! What the log says of bad input: one clear line that names its source, and what was known before stays. With the real
-//! program, whose log is read.
+//! Log lines about malformed input: one line that names its source, after which the previous state stays in use. The tests
+//! start the program and read its log.
 
 mod support;
 
@@ -12,11 +12,11 @@
 use serde_json::{json, Value};
 use support::{host, in_time, name, on_one_thread, settings, Bulletin, Caller, Does, SipServer, What, World};
 
-/// The program on the platform's path, its log read by a thread.
+/// The program with a configuration of the platform, and a thread that reads its log.
 struct Program {
     child: Child,
     lines: Receiver<String>,
-    said: Vec<String>,
+    log: Vec<String>,
     file: PathBuf,
 }
 
@@ -27,26 +27,28 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_lockpoint"));
         command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_LISTEN").env_remove("ROUTER_NAME");
         command.env_remove("ROUTER_FD").env_remove("ROUTER_CONSOLE").env_remove("LOCKPOINT_LOG");
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
-        let log = BufReader::new(child.stderr.take().expect("its log"));
-        let (say, lines) = channel();
-        std::thread::spawn(move || log.lines().map_while(Result::ok).all(|line| say.send(line).is_ok()));
-        Program { child, lines, said: Vec::new(), file }
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("the program starts");
+        let stderr = BufReader::new(child.stderr.take().expect("standard error is piped"));
+        let (sender, lines) = channel();
+        std::thread::spawn(move || {
+            stderr.lines().map_while(Result::ok).all(|line| sender.send(line).is_ok())
+        });
+        Program { child, lines, log: Vec::new(), file }
     }
     fn write(file: &std::path::Path, text: &Value) {
-        std::fs::write(file, text.to_string()).expect("written");
+        std::fs::write(file, text.to_string()).expect("the file is written");
     }
     fn signal(&self, which: &str) {
         let kill = Command::new("kill").args([which, &self.child.id().to_string()]).status();
-        assert!(kill.expect("it runs").success());
+        assert!(kill.expect("kill runs").success());
     }
-    /// Waits until a line of the log says all of this.
-    async fn says(&mut self, words: &[&str]) {
+    /// Waits until a line of the log contains all of these words.
+    async fn wait_for_log(&mut self, words: &[&str]) {
         in_time(&format!("{words:?}"), async {
             loop {
                 while let Ok(line) = self.lines.try_recv() {
                     let found = words.iter().all(|word| line.contains(word));
-                    self.said.push(line);
+                    self.log.push(line);
                     if found {
                         return;
                     }
@@ -56,9 +58,10 @@
         })
         .await;
     }
-    fn times(&mut self, words: &str) -> usize {
-        self.said.extend(self.lines.try_iter());
-        self.said.iter().filter(|line| line.contains(words)).count()
+    /// Returns how many lines of the log contain these words.
+    fn count_in_log(&mut self, words: &str) -> usize {
+        self.log.extend(self.lines.try_iter());
+        self.log.iter().filter(|line| line.contains(words)).count()
     }
 }
 
@@ -74,18 +77,18 @@
     json!({"name": "n1", "listen": listen, "bulletin": bulletin, "settings": settings(1)})
 }
 
-/// An address that the system picks, for a program that does not say which it got.
-fn a_port() -> String {
+/// Returns a free address. The program cannot choose a port itself, since it does not report which one it got.
+fn free_address() -> String {
     let id = std::process::id();
-    let at = std::net::Ipv4Addr::from([127, 3, (id % 250) as u8, (id / 250 % 250) as u8]);
-    let listener = std::net::TcpListener::bind((at, 0)).expect("a port");
-    listener.local_addr().expect("an address").to_string()
+    let ip = std::net::Ipv4Addr::from([127, 3, (id % 250) as u8, (id / 250 % 250) as u8]);
+    let listener = std::net::TcpListener::bind((ip, 0)).expect("a port is free");
+    listener.local_addr().expect("the socket is bound").to_string()
 }
 
-async fn connect(world: &World, at: &str) -> Caller {
-    in_time("it listens", async {
+async fn connect(world: &World, address: &str) -> Caller {
+    in_time("the program listens", async {
         loop {
-            match Caller::try_connect(world, "c", at.parse().expect("an address")).await {
+            match Caller::try_connect(world, "c", address.parse().expect("a valid address")).await {
                 Ok(caller) => return caller,
                 Err(_) => tokio::time::sleep(std::time::Duration::from_millis(5)).await,
             }
@@ -94,94 +97,96 @@
     .await
 }
 
-async fn serves(world: &World, caller: &Caller, n: u64) {
-    in_time("a call stands", async {
+/// Waits until a call is established; the calls are numbered from `n`.
+async fn establish_call(world: &World, caller: &Caller, n: u64) {
+    in_time("a call is established", async {
         let mut n = n;
         loop {
             caller.open(&name(n), 2_000, 0, "x").await;
             match world.answer(&name(n)).await.what {
                 What::Ready(_) => return,
-                _ => n += 1, // no list yet
+                _ => n += 1, // the program has no list yet
             }
         }
     })
     .await;
 }
 
-/// A spoilt list: the line names the bulletin, the event and what is wrong with it; the call servers known stay in use.
+/// The log line names the bulletin, the event and what is wrong with it; the known call servers stay in use.
 #[rstest]
-#[case::an_event("event", json!({"no": "two"}), "an event")]
-#[case::a_state("state", json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": [
+#[case::invalid_event_number("event", json!({"no": "two"}), "an event")]
+#[case::unknown_state("state", json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": [
     {"host": "s0", "dial": "127.0.0.1:1", "health": "dr\u{fffd}ning"}]}}), "host 's0': 'dr\u{fffd}ning' is no state")]
-#[case::an_address("address", json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": [
+#[case::invalid_address("address", json!({"no": 2, "roster": {"seq": 2, "whole": false, "hosts": [
     {"host": "s0", "dial": "nowhere", "health": "gone"}]}}), "event 2: a line")]
-fn a_spoilt_list_is_one_line(#[case] test: &str, #[case] spoilt: Value, #[case] why: &str) {
+fn a_malformed_list_is_logged_in_one_line(#[case] test: &str, #[case] malformed: Value, #[case] why: &str) {
     on_one_thread(async {
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
-        let (listen, at) = (a_port(), bulletin.at.to_string());
+        let (listen, at) = (free_address(), bulletin.at.to_string());
         let mut program = Program::start(test, &listen, &at);
         let caller = connect(&world, &listen).await;
-        serves(&world, &caller, 1).await;
-        bulletin.tell_raw(spoilt);
-        program.says(&["fails", "party=\"bulletin\"", &at, "follows its event 1", why]).await;
-        program.says(&["passed over; what was known stays", why]).await;
-        serves(&world, &caller, 100).await;
-        assert_eq!(program.times("passed over"), 1);
-        assert_eq!(program.times(" fails "), 1, "{:#?}", program.said);
+        establish_call(&world, &caller, 1).await;
+        bulletin.tell_raw(malformed);
+        program.wait_for_log(&["fails", "party=\"bulletin\"", &at, "follows its event 1", why]).await;
+        program.wait_for_log(&["passed over; what was known stays", why]).await;
+        establish_call(&world, &caller, 100).await;
+        assert_eq!(program.count_in_log("passed over"), 1);
+        assert_eq!(program.count_in_log(" fails "), 1, "{:#?}", program.log);
     });
 }
 
-/// A spoilt answer: the line names the call server.
+/// The log line names the call server.
 #[test]
-fn a_spoilt_answer_is_one_line() {
+fn a_malformed_sip_message_is_logged_in_one_line() {
     on_one_thread(async {
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
-        let listen = a_port();
+        let listen = free_address();
         let mut program = Program::start("answer", &listen, &bulletin.at.to_string());
         let caller = connect(&world, &listen).await;
-        serves(&world, &caller, 1).await;
+        establish_call(&world, &caller, 1).await;
         server.say(b"SIP/2.0 OK 200\r\nContent-Length: nine\r\n\r\n");
         let at = server.at.to_string();
-        program.says(&["fails", "party=\"call server's messages\"", &at, "message"]).await;
-        serves(&world, &caller, 100).await;
-        program.says(&["is back", "party=\"call server's messages\"", &at]).await;
+        program.wait_for_log(&["fails", "party=\"call server's messages\"", &at, "message"]).await;
+        establish_call(&world, &caller, 100).await;
+        program.wait_for_log(&["is back", "party=\"call server's messages\"", &at]).await;
     });
 }
 
-/// A spoilt setting in a file that is read anew: the line names file and key, and the old ones stay in use.
+/// A reload of a file with an invalid setting: the log line names the file and the key, and the previous settings stay in
+/// use.
 #[rstest]
-#[case::a_word("classes", json!("none"), "settings")]
-#[case::a_number("bounds", json!({"max-attempts": -1}), "bounds.max-attempts")]
-#[case::a_rule("rules", json!({"cold-share": "much"}), "rules.cold-share")]
-#[case::a_rule_that_lacks_a_figure("rules", json!({"cold-share": 0.3}), "cold-us")]
-#[case::a_share_that_is_none("parties", json!([{"name": "a", "quota-per-s": 5}, {"name": "b", "quota-per-s": -5}]), "settings.parties[1].quota-per-s")]
-#[case::a_tenant_with_no_name("parties", json!([{"quota-per-s": 5}]), "settings.parties")]
-#[case::a_worth_out_of_range("over-share-worth", json!(1.5), "settings.over-share-worth")]
-#[case::an_unknown_word("classes", json!([{"name": "judge-call", "goal-time-us": 1, "worth": 1, "semantics": "at_times"}]), "settings.classes[0].semantics")]
-fn a_spoilt_setting_is_one_line(#[case] key: &str, #[case] value: Value, #[case] named: &str) {
+#[case::word_instead_of_list("classes", json!("none"), "settings")]
+#[case::negative_number("bounds", json!({"max-attempts": -1}), "bounds.max-attempts")]
+#[case::word_instead_of_number("rules", json!({"cold-share": "much"}), "rules.cold-share")]
+#[case::missing_setting("rules", json!({"cold-share": 0.3}), "cold-us")]
+#[case::negative_quota("parties", json!([{"name": "a", "quota-per-s": 5}, {"name": "b", "quota-per-s": -5}]), "settings.parties[1].quota-per-s")]
+#[case::tenant_without_name("parties", json!([{"quota-per-s": 5}]), "settings.parties")]
+#[case::worth_out_of_range("over-share-worth", json!(1.5), "settings.over-share-worth")]
+#[case::unknown_word("classes", json!([{"name": "judge-call", "goal-time-us": 1, "worth": 1, "semantics": "at_times"}]), "settings.classes[0].semantics")]
+fn an_invalid_setting_is_logged_in_one_line(#[case] key: &str, #[case] value: Value, #[case] named: &str) {
     on_one_thread(async {
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
-        let (listen, at) = (a_port(), bulletin.at.to_string());
+        let (listen, at) = (free_address(), bulletin.at.to_string());
         let mut program =
             Program::start(&format!("{key}-{}", named.replace(['[', ']', '.'], "-")), &listen, &at);
         let caller = connect(&world, &listen).await;
-        serves(&world, &caller, 1).await;
+        establish_call(&world, &caller, 1).await;
         let mut text = configuration(&listen, &at);
         text["settings"][key] = value;
         Program::write(&program.file, &text);
         program.signal("-HUP");
         let file = program.file.to_string_lossy().into_owned();
-        program.says(&["not reloaded: ", &file, named]).await;
-        serves(&world, &caller, 100).await;
-        assert_eq!(program.times("not reloaded"), 1);
+        program.wait_for_log(&["not reloaded: ", &file, named]).await;
+        establish_call(&world, &caller, 100).await;
+        assert_eq!(program.count_in_log("not reloaded"), 1);
     });
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,12 +1,13 @@
-//! The agent's log: what fails is said once and when it is back; a reader that does not read holds nothing up.
+//! The agent's log: a fault is logged once when it begins and once when it ends, and a log that is not read delays
+//! nothing.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpListener;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{self, Child, Stdio};
 use std::time::{Duration, Instant};
 
-use lockpoint::control::{send_request, Command as Asked, Reply, Request};
+use lockpoint::control::{send_request, Command, Reply, Request};
 use lockpoint_lab::bulletin::Bulletin;
 use lockpoint_lab::world::{on_one_thread, World};
 use serde_json::Value;
@@ -37,30 +38,31 @@
 
 impl Agent {
     fn start(name: &str, bulletin: &str) -> Agent {
-        let dir = std::env::temp_dir().join(format!("lockpoint-logs-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
+        let dir = std::env::temp_dir().join(format!("lockpoint-logs-{name}-{}", process::id()));
+        std::fs::create_dir_all(&dir).expect("the directory is created");
         let control = dir.join("control.sock");
         let text = FILE.replace("CONTROL", &control.to_string_lossy()).replace("BULLETIN", bulletin);
-        std::fs::write(dir.join("agent.toml"), text).expect("written");
-        let mut command = Command::new(env!("CARGO_BIN_EXE_lockpoint"));
+        std::fs::write(dir.join("agent.toml"), text).expect("the file is written");
+        let mut command = process::Command::new(env!("CARGO_BIN_EXE_lockpoint"));
         command.arg("agent").arg("--config").arg(dir.join("agent.toml")).env_remove("LOCKPOINT_LOG");
-        let child = command.stderr(Stdio::piped()).spawn().expect("it starts");
+        let child = command.stderr(Stdio::piped()).spawn().expect("the agent starts");
         Agent { dir, child }
     }
-    async fn ask(&self, command: Asked) -> Reply {
-        let end = Instant::now() + Duration::from_secs(20);
+    /// Sends a command, repeatedly until the agent answers.
+    async fn send(&self, command: Command) -> Reply {
+        let deadline = Instant::now() + Duration::from_secs(20);
         loop {
             let request = Request { command, instance: None };
             match send_request(&self.dir.join("control.sock"), &request).await {
                 Ok(reply) => return reply,
-                Err(error) => assert!(Instant::now() < end, "{error}"),
+                Err(error) => assert!(Instant::now() < deadline, "{error}"),
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
-    async fn failures(&self) -> u64 {
-        let Reply::Stats { instances } = self.ask(Asked::Stats).await else { panic!("no counters") };
-        instances[0]["bulletin_failures"].as_u64().expect("a count")
+    async fn bulletin_failures(&self) -> u64 {
+        let Reply::Stats { instances } = self.send(Command::Stats).await else { panic!("no counters") };
+        instances[0]["bulletin_failures"].as_u64().expect("the counter is a number")
     }
 }
 
@@ -72,51 +74,54 @@
     }
 }
 
-/// Guards against an agent that counts failures and says nothing, or says each of them.
+/// Guards against an agent that counts failures without logging them, or logs each of them.
 #[test]
-fn a_bulletin_that_does_not_answer_is_said_once_and_when_it_is_back() {
+fn an_outage_of_the_bulletin_is_logged_once_when_it_begins_and_once_when_it_ends() {
     on_one_thread(async {
-        let at = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
-        let mut agent = Agent::start("outage", &at.to_string());
-        while agent.failures().await < 3 {
+        let address = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port is free");
+        let mut agent = Agent::start("outage", &address.to_string());
+        while agent.bulletin_failures().await < 3 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let world = World::default();
-        let bulletin = Bulletin::start_at(&world, at).await.expect("the same port");
+        let bulletin = Bulletin::start_at(&world, address).await.expect("the same port is free");
         bulletin.tell(true, Vec::new());
-        let stderr = agent.child.stderr.take().expect("its log");
-        let read = tokio::task::spawn_blocking(move || {
-            let mut said = Vec::new();
+        let stderr = agent.child.stderr.take().expect("standard error is piped");
+        let reader = tokio::task::spawn_blocking(move || {
+            let mut lines = Vec::new();
             for line in BufReader::new(stderr).lines() {
-                let line: Value = serde_json::from_str(&line.expect("a line")).expect("JSON");
-                let back = line["message"] == "is back";
-                said.push(line);
-                if back {
+                let line: Value =
+                    serde_json::from_str(&line.expect("a line is readable")).expect("valid JSON");
+                let recovered = line["message"] == "is back";
+                lines.push(line);
+                if recovered {
                     break;
                 }
             }
-            said
+            lines
         });
-        let said =
-            tokio::time::timeout(Duration::from_secs(20), read).await.expect("it is back").expect("read");
-        let of_bulletin: Vec<&Value> = said.iter().filter(|line| line["party"] == "bulletin").collect();
-        assert_eq!(of_bulletin.len(), 2, "{said:#?}");
+        let lines = tokio::time::timeout(Duration::from_secs(20), reader)
+            .await
+            .expect("the recovery is logged")
+            .expect("the log is read");
+        let of_bulletin: Vec<&Value> = lines.iter().filter(|line| line["party"] == "bulletin").collect();
+        assert_eq!(of_bulletin.len(), 2, "{lines:#?}");
         assert_eq!((&of_bulletin[0]["message"], &of_bulletin[0]["level"]), (&"fails".into(), &"WARN".into()));
-        assert_eq!(of_bulletin[0]["at"], at.to_string());
+        assert_eq!(of_bulletin[0]["at"], address.to_string());
         assert!(of_bulletin[1]["times"].as_u64() >= Some(3), "{of_bulletin:?}");
     });
 }
 
-/// Guards against calls that wait for the log: 2,000 lines are more than a pipe holds.
+/// Guards against calls that are delayed by writing the log. 2,000 lines are more than a pipe can buffer.
 #[test]
-fn a_log_that_nobody_reads_holds_up_nothing() {
+fn a_log_that_is_not_read_delays_nothing() {
     on_one_thread(async {
         let agent = Agent::start("unread", "127.0.0.1:9");
-        agent.ask(Asked::Ping).await;
-        std::fs::write(agent.dir.join("agent.toml"), "control = 5").expect("written");
+        agent.send(Command::Ping).await;
+        std::fs::write(agent.dir.join("agent.toml"), "control = 5").expect("the file is written");
         for _ in 0..2_000 {
-            assert!(matches!(agent.ask(Asked::Reload).await, Reply::Error { .. }));
+            assert!(matches!(agent.send(Command::Reload).await, Reply::Error { .. }));
         }
-        assert!(matches!(agent.ask(Asked::Ping).await, Reply::ConsoleAnswers { .. }));
+        assert!(matches!(agent.send(Command::Ping).await, Reply::ConsoleAnswers { .. }));
     });
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The rules on real sockets, one test each, on the platform's wires.
+//! The requirements on a controller, one test each, over real sockets with the platform's protocols: JSON lines, SIP and
+//! the bulletin.
 
 mod support;
 
@@ -9,11 +10,11 @@
 const DESCRIPTION: &str =
     "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n\"\u{e9}\\\t";
 
-fn answers(text: &str) -> Does {
+fn answer_with(text: &str) -> Does {
     Does::Answer(text.to_owned())
 }
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
+fn event(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
     move |seen| seen.sid == sid && seen.what == what
 }
 
@@ -22,18 +23,18 @@
 }
 
 #[test]
-fn a_call_gets_one_final_answer_and_all_passes_unchanged() {
+fn a_call_gets_one_final_answer_and_its_contents_pass_unchanged() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, _servers, _) = Controller::with_servers(&world, &[answers(DESCRIPTION)]).await;
+        let (controller, _servers, _) = Controller::with_servers(&world, &[answer_with(DESCRIPTION)]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, DESCRIPTION).await;
-        // The same set-up again is no new call.
+        // A repeated set-up is not a new call.
         caller.open(&name(1), 2_000, 0, DESCRIPTION).await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready(DESCRIPTION.to_owned()));
         let sent = world.until("the set-up", set_up_at("s0")).await;
-        let whole = What::SetUp("judge-call".into(), "7f3a9c21e0b4d655".into(), DESCRIPTION.into());
-        assert_eq!((sent.sid, sent.what), (name(1), whole));
+        let expected = What::SetUp("judge-call".into(), "7f3a9c21e0b4d655".into(), DESCRIPTION.into());
+        assert_eq!((sent.sid, sent.what), (name(1), expected));
         let counters = controller.stop().await;
         assert_eq!(
             (counters.taken, counters.completed, counters.duplicates, counters.attempts),
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn a_call_given_up_on_is_refused_at_once_with_a_wait() {
+fn a_call_that_no_call_server_accepts_is_refused_early_with_a_wait() {
     on_one_thread(async {
         let world = World::default();
         let full = Does::Refuse(503, "P-Reason: queue_long\r\nP-Line-Ms: 2500\r\n".into());
@@ -54,21 +55,26 @@
         let asked = world.until("asked", |s| s.sid == name(1) && matches!(s.what, What::Asked(_))).await;
         let answer = world.answer(&name(1)).await;
         assert!(matches!(answer.what, What::Close(34 | 42 | 102, Some(wait)) if wait > 0), "{answer:?}");
-        assert!(answer.at - asked.at < Duration::from_secs(4), "held back for {:?}", answer.at - asked.at);
+        assert!(
+            answer.at - asked.at < Duration::from_secs(4),
+            "refused only after {:?}",
+            answer.at - asked.at
+        );
         let refusals = world.all().into_iter().filter(|s| s.what == What::Refused).count();
         assert!((1..=5).contains(&refusals));
     });
 }
 
 #[test]
-fn after_a_silent_server_the_second_attempt_waits_for_the_release() {
+fn after_a_silent_call_server_the_second_attempt_waits_for_the_release_of_the_first() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, _servers, _) = Controller::with_servers(&world, &[Does::Silent, answers("y")]).await;
+        let (controller, _servers, _) =
+            Controller::with_servers(&world, &[Does::Silent, answer_with("y")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
-        let cancel = world.until("the cancel", is(&name(1), What::Cancel)).await;
+        let cancel = world.until("the cancel", event(&name(1), What::Cancel)).await;
         let second = world.until("the second attempt", set_up_at("s1")).await;
         assert!(second.at >= cancel.at + Duration::from_millis(500), "{:?} after", second.at - cancel.at);
         assert_eq!(controller.instance.counters().held_back, 0);
@@ -76,36 +82,36 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_drains() {
+fn a_draining_call_server_gets_no_new_calls() {
     on_one_thread(async {
         let world = World::default();
         let (controller, servers, bulletin) =
-            Controller::with_servers(&world, &[answers("a"), answers("b")]).await;
+            Controller::with_servers(&world, &[answer_with("a"), answer_with("b")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         world.answer(&name(1)).await;
         bulletin.tell(false, vec![host("s0", servers[0].at, 0, "draining")]);
-        let told = world.until_all("told", 2, |s| matches!(s.what, What::Told(_))).await[1].at;
-        // Calls keep coming; from 250 ms after the bulletin holds the drain none may reach it.
+        let listed = world.until_all("the lists", 2, |s| matches!(s.what, What::Told(_))).await[1].at;
+        // Calls continue to arrive. From 250 ms after the bulletin lists the drain, none may reach the draining call server.
         for n in 2..60 {
             caller.open(&name(n), 2_000, 0, "x").await;
             world.answer(&name(n)).await;
             tokio::time::sleep(Duration::from_millis(6)).await;
         }
-        let late = |s: &Seen| set_up_at("s0")(s) && s.at > told + Duration::from_millis(250);
+        let late = |s: &Seen| set_up_at("s0")(s) && s.at > listed + Duration::from_millis(250);
         assert_eq!(world.count(late), 0);
-        assert!(world.count(|s| set_up_at("s1")(s) && s.at > told + Duration::from_millis(250)) > 0);
-        // What stands there stays up, and its end still comes through.
+        assert!(world.count(|s| set_up_at("s1")(s) && s.at > listed + Duration::from_millis(250)) > 0);
+        // Calls established there continue, and their release still reaches the caller.
         servers[0].release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.until("the release", event(&name(1), What::Close(16, None))).await;
     });
 }
 
 #[test]
-fn a_release_reaches_the_caller_on_another_connection_or_the_next() {
+fn a_release_reaches_the_caller_on_another_connection_or_on_the_next_one() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
+        let (controller, servers, _) = Controller::with_servers(&world, &[answer_with("a")]).await;
         let first = Caller::connect(&world, "first", controller.at).await;
         let second = Caller::connect(&world, "second", controller.at).await;
         for n in 1..=2 {
@@ -115,115 +121,122 @@
         first.drop_connection();
         controller.turns("one connection left", |i| i.counters().clients == 1).await;
         servers[0].release(&name(1), 41);
-        let heard = world.until("the release", is(&name(1), What::Close(41, None))).await;
-        assert_eq!(heard.who, "second");
+        let release = world.until("the release", event(&name(1), What::Close(41, None))).await;
+        assert_eq!(release.who, "second");
         second.drop_connection();
         controller.turns("none left", |i| i.counters().clients == 0).await;
         servers[0].release(&name(2), 16);
-        controller.turns("the release is in", |i| i.counters().standing == 0).await;
+        controller.turns("the release is received", |i| i.counters().standing == 0).await;
         let _third = Caller::connect(&world, "third", controller.at).await;
-        assert_eq!(world.until("it", is(&name(2), What::Close(16, None))).await.who, "third");
+        assert_eq!(
+            world.until("the second release", event(&name(2), What::Close(16, None))).await.who,
+            "third"
+        );
     });
 }
 
 #[test]
-fn a_caller_ends_its_call_on_any_connection_and_crossing_releases_meet() {
+fn a_caller_ends_its_call_on_any_connection_and_crossing_releases_are_resolved() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
+        let (controller, servers, _) = Controller::with_servers(&world, &[answer_with("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         let other = Caller::connect(&world, "d", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         world.answer(&name(1)).await;
         other.close(&name(1), 16).await;
-        assert_eq!(world.until("heard", is(&name(1), What::Closed)).await.who, "d");
-        world.until("ended there", is(&name(1), What::Bye(16))).await;
-        // The server's own release crossed: the caller has nothing more to hear.
+        assert_eq!(world.until("the confirmation", event(&name(1), What::Closed)).await.who, "d");
+        world.until("the BYE", event(&name(1), What::Bye(16))).await;
+        // The call server's own release has crossed that of the caller, which must not get another one.
         servers[0].release(&name(1), 16);
         servers[0].release(&name(9), 16);
-        world.until("the next one", is(&name(9), What::Close(16, None))).await;
-        assert_eq!(world.count(is(&name(1), What::Close(16, None))), 0);
+        world.until("the next release", event(&name(9), What::Close(16, None))).await;
+        assert_eq!(world.count(event(&name(1), What::Close(16, None))), 0);
     });
 }
 
 #[test]
-fn a_server_that_dies_costs_its_calls_and_their_callers_hear_of_it() {
+fn calls_of_a_call_server_that_dies_are_released_to_their_callers() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
+        let (controller, servers, _) = Controller::with_servers(&world, &[answer_with("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         world.answer(&name(1)).await;
         servers[0].die();
-        world.until("the release", is(&name(1), What::Close(41, None))).await;
+        world.until("the release", event(&name(1), What::Close(41, None))).await;
         assert_eq!(controller.instance.counters().standing, 0);
     });
 }
 
-/// Guards against calls that are released while they stand because a connection of their server was reset.
+/// Guards against established calls being released because a connection to their call server was reset.
 #[test]
-fn a_reset_connection_costs_no_call_that_stands() {
+fn established_calls_survive_a_reset_of_the_connection() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
+        let (controller, servers, _) = Controller::with_servers(&world, &[answer_with("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         world.answer(&name(1)).await;
         let before = controller.instance.counters().connected;
         servers[0].reset();
-        controller.turns("a connection is there anew", |i| i.counters().connected > before).await;
+        controller.turns("a new connection is established", |i| i.counters().connected > before).await;
         assert_eq!(controller.instance.counters().standing, 1);
         servers[0].release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.until("the release", event(&name(1), What::Close(16, None))).await;
     });
 }
 
 #[test]
-fn a_release_of_a_call_set_up_before_a_restart_is_passed_on() {
+fn a_release_of_a_call_that_was_set_up_before_a_restart_is_passed_on() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
-        let _caller = Caller::connect(&world, "c", controller.at).await;
+        let (controller, servers, _) = Controller::with_servers(&world, &[answer_with("a")]).await;
+        let caller = Caller::connect(&world, "c", controller.at).await;
         controller
-            .turns("both are there", |i| i.counters().clients == 1 && i.counters().connected == 1)
+            .turns("caller and call server are connected", |i| {
+                i.counters().clients == 1 && i.counters().connected == 1
+            })
             .await;
         servers[0].release(&name(7), 16);
-        world.until("the release", is(&name(7), What::Close(16, None))).await;
-        // And one that the caller ends is ended at the servers.
-        _caller.close(&name(8), 16).await;
-        world.until("ended there", is(&name(8), What::Bye(16))).await;
+        world.until("the release", event(&name(7), What::Close(16, None))).await;
+        // A release by the caller is sent to the call servers.
+        caller.close(&name(8), 16).await;
+        world.until("the BYE", event(&name(8), What::Bye(16))).await;
     });
 }
 
 #[test]
-fn a_test_passes_only_once_the_list_is_held() {
+fn a_health_check_passes_only_once_a_list_is_received() {
     on_one_thread(async {
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", answers("a")).await;
+        let server = SipServer::start(&world, "s0", answer_with("a")).await;
         let controller = Controller::start(support::config(bulletin.at)).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
-        let test = b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n";
-        caller.say(test).await;
-        world.until("it fails", |s| s.what == What::Other("probed 0".into())).await;
+        let probe = b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n";
+        caller.say(probe).await;
+        world.until("the health check fails", |s| s.what == What::Other("probed 0".into())).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         assert!(matches!(world.answer(&name(1)).await.what, What::Close(42, Some(_))));
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
         controller.holds_list().await;
-        caller.say(test).await;
-        world.until("it passes", |s| s.what == What::Other("probed 1".into())).await;
+        caller.say(probe).await;
+        world.until("the health check passes", |s| s.what == What::Other("probed 1".into())).await;
     });
 }
 
 #[test]
-fn asked_to_stop_it_still_accepts_for_a_while_and_finishes_what_it_took() {
+fn a_stopping_controller_accepts_calls_for_a_while_and_answers_all_that_it_took() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, _servers, _) = Controller::with_servers(&world, &[answers("a"), Does::Silent]).await;
+        let (controller, _servers, _) =
+            Controller::with_servers(&world, &[answer_with("a"), Does::Silent]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
-        caller.open(&name(1), 9_000, 1, "x").await; // silent there, stands elsewhere over a second later
+        // One call server is silent; the other one answers more than a second later.
+        caller.open(&name(1), 9_000, 1, "x").await;
         controller.ask_to_stop();
-        controller.turns("it stops", |i| i.stopping()).await;
+        controller.turns("the controller is stopping", |i| i.stopping()).await;
         let late = Caller::connect(&world, "late", controller.at).await;
         late.open(&name(2), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
@@ -234,24 +247,25 @@
 }
 
 #[test]
-fn malformed_bytes_cost_their_message_or_connection_alone() {
+fn a_malformed_message_costs_only_itself_or_its_connection() {
     on_one_thread(async {
         let world = World::default();
-        let (controller, servers, bulletin) = Controller::with_servers(&world, &[answers("a")]).await;
+        let (controller, servers, bulletin) = Controller::with_servers(&world, &[answer_with("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         let other = Caller::connect(&world, "d", controller.at).await;
-        // What cannot be read costs its connection; a set-up that can be answered by name costs itself.
-        let bad =
+        // A line that cannot be parsed closes its connection. A set-up whose sid can be read is refused, and the connection
+        // stays open.
+        let malformed =
             [&b"{\"msg\":\"open\"\n"[..], b"[]\n", b"\xff\xfe\n", b"{\"msg\":\"open\",\"sid\":\"short\"}\n"];
-        for line in bad {
+        for line in malformed {
             Caller::connect(&world, "bad", controller.at).await.say(line).await;
         }
-        let lacking = format!("{{\"msg\":\"open\",\"sid\":\"{}\"}}\n", name(9));
-        caller.say(lacking.as_bytes()).await;
-        world.until("told by name", is(&name(9), What::Close(100, None))).await;
+        let incomplete = format!("{{\"msg\":\"open\",\"sid\":\"{}\"}}\n", name(9));
+        caller.say(incomplete.as_bytes()).await;
+        world.until("the refusal", event(&name(9), What::Close(100, None))).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         world.answer(&name(1)).await;
-        // A message that cannot be read costs its connection, which is made anew.
+        // A SIP message that cannot be parsed closes its connection, which is established again.
         servers[0].say(b"NOISE\r\nContent-Length: 3\r\n\r\nabc");
         bulletin.tell(false, vec![serde_json::json!({"host": 5})]);
         caller.open(&name(2), 2_000, 0, "x").await;
@@ -259,7 +273,7 @@
         servers[0].say(b"NOTIFY sip:a@b SIP/2.0\r\n\r\n");
         other.say(&[b'x'; 20_000]).await;
         controller
-            .turns("both are counted", |i| {
+            .turns("all malformed messages are counted", |i| {
                 let c = i.counters();
                 c.malformed_lines == 6
                     && c.malformed_sip == 2
