--- a/src/cli.rs
+++ b/src/cli.rs
@@ -187,8 +187,8 @@
     ExitCode::from(code)
 }
 
-/// Completes on SIGTERM or SIGINT. The signals are caught from this call on, so that calls taken right after the start are
-/// answered before the process ends.
+/// Completes on SIGTERM or SIGINT. The signals are caught from this call on, so that calls taken right after the start
+/// are answered before the process ends.
 fn stop_signal() -> impl std::future::Future<Output = ()> {
     let caught = Caught::of(&[signals::TERMINATE, signals::INTERRUPT]);
     async move {
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,5 +1,5 @@
-//! `lockpoint fleet limits`: the state of the call servers as known to a controller and to the fleet. It is taken from the
-//! controller's metrics, so that agents and consoles are queried in the same way.
+//! `lockpoint fleet limits`: the state of the call servers as known to a controller and to the fleet. It is taken from
+//! the controller's metrics, so that agents and consoles are queried in the same way.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -45,7 +45,7 @@
         lines.push(match json {
             true => serde_json::json!({"call": sid.as_str(), "stands": call}).to_string(),
             false => format!(
-                "call {sid} stands at {} since {} ms, number {}",
+                "call {sid} established at {} since {} ms, number {}",
                 call.host, call.since_ms, call.number
             ),
         });
@@ -53,7 +53,7 @@
     for (sid, cause) in &records.pending_releases {
         lines.push(match json {
             true => serde_json::json!({"call": sid.as_str(), "owed": cause}).to_string(),
-            false => format!("call {sid} owes a release with cause {cause}"),
+            false => format!("call {sid} has a pending release with cause {cause}"),
         });
     }
     for record in &records.directory {
@@ -62,7 +62,7 @@
             false => {
                 let entry = &record.entry;
                 format!(
-                    "{} {} {:?} told {} ms, born {} ms",
+                    "{} {} {:?} listed {} ms, started {} ms",
                     entry.host, entry.address, entry.state, record.listed_ms, entry.started_ms
                 )
             }
--- a/src/config.rs
+++ b/src/config.rs
@@ -393,15 +393,15 @@
 const OWN_DESCRIPTORS: usize = 16;
 
 impl Limits {
-    /// Reduces the descriptors to this process's resource limit. With more, callers would use up all descriptors that the
-    /// system grants, and leave none for the connection to the directory.
+    /// Reduces the descriptors to this process's resource limit. With more, callers would use up all descriptors that
+    /// the system grants, and leave none for the connection to the directory.
     fn capped_by_system(self) -> Limits {
         let granted = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let granted = granted.and_then(|most| usize::try_from(most).ok()).unwrap_or(usize::MAX);
         Limits { sockets: self.sockets.min(granted), ..self }
     }
     /// Returns half of the limits: during a takeover the old and the new process run at the same time, and the limits
-    /// hold for both together.
+    /// apply to both together.
     pub fn halved(self) -> Limits {
         Limits { sockets: self.sockets / 2, memory_mb: self.memory_mb / 2 }
     }
@@ -409,12 +409,13 @@
     pub fn extra_server_connections(&self) -> usize {
         (self.reserved() - self.console_connections().min(self.reserved())) / 2
     }
-    /// Maximum number of client connections. The remaining descriptors are for call servers, directories, the console and
-    /// the program itself.
+    /// Maximum number of client connections. The remaining descriptors are for call servers, directories, the console
+    /// and the program itself.
     pub fn client_connections(&self) -> usize {
         self.sockets.saturating_sub((self.sockets / 4).clamp(8, 128)).max(8)
     }
-    /// Maximum number of client connections if so many call servers are listed, each of which has a permanent connection.
+    /// Maximum number of client connections if this many call servers are listed, each of which has a permanent
+    /// connection.
     pub fn client_connections_beside(&self, servers: usize) -> usize {
         let others = OWN_DESCRIPTORS + self.console_connections() + self.extra_server_connections() + servers;
         self.client_connections().min(self.sockets.saturating_sub(others)).max(8)
@@ -436,8 +437,8 @@
     pub fn buffers(&self) -> usize {
         self.memory_share() / BUFFER
     }
-    /// Maximum number of calls that wait for an answer, limited by the setting `most-held` and by memory: each takes about
-    /// 1 KB without its description.
+    /// Maximum number of calls that wait for an answer, limited by the setting `most-held` and by memory: each takes
+    /// about 1 KB without its description.
     pub fn pending_calls(&self, max_pending_calls: usize) -> usize {
         max_pending_calls.min(self.memory_share() / 1_024).max(1)
     }
--- a/src/config/overlay.rs
+++ b/src/config/overlay.rs
@@ -1,7 +1,7 @@
 //! Replicated values that override the settings of a file: the valid keys, and the checks of values.
 //!
-//! A key is `all/PATH` or `service/SERVICE/PATH`; the latter takes precedence. A path identifies one setting, with dots as
-//! in `rules.cold-share`; rows of lists are identified by their names, as in `classes.judge-call.goal-time-us`.
+//! A key is `all/PATH` or `service/SERVICE/PATH`; the latter takes precedence. A path identifies one setting, with dots
+//! as in `rules.cold-share`; rows of lists are identified by their names, as in `classes.judge-call.goal-time-us`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/src/control.rs
+++ b/src/control.rs
@@ -275,8 +275,8 @@
             ended: ended.clone(),
             restart_config: restart_config.clone(),
         };
-        // The agent may have been told to stop while this instance was being opened. If it kept running, the agent would
-        // never end.
+        // The agent may have been told to stop while this instance was being opened. If the instance kept running, the
+        // agent would never end.
         if *self.stopping.borrow() {
             running.instance.begin_stop();
             running.stop.notify_one();
--- a/src/control/replication.rs
+++ b/src/control/replication.rs
@@ -47,7 +47,7 @@
     pub instance: Option<String>,
 }
 
-/// Identifies a change, as `SOURCE:EPOCH:NUMBER`. Without an epoch, the queried controller uses the epoch that it knows.
+/// Identifies a change, as `SOURCE:EPOCH:NUMBER`. Without an epoch, the queried controller uses the one that it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ChangeId {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Log lines about malformed input: one line that names its source, after which the previous state stays in use. The tests
-//! start the program and read its log.
+//! Log lines about malformed input: one line that names its source, after which the previous state stays in use. The
+//! tests start the program and read its log.
 
 mod support;
 
@@ -158,8 +158,8 @@
     });
 }
 
-/// A reload of a file with an invalid setting: the log line names the file and the key, and the previous settings stay in
-/// use.
+/// A reload of a file with an invalid setting: the log line names the file and the key, and the previous settings stay
+/// in use.
 #[rstest]
 #[case::word_instead_of_list("classes", json!("none"), "settings")]
 #[case::negative_number("bounds", json!({"max-attempts": -1}), "bounds.max-attempts")]
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The requirements on a controller, one test each, over real sockets with the platform's protocols: JSON lines, SIP and
-//! the bulletin.
+//! The requirements on a controller, one test each, over real sockets with the platform's protocols: JSON lines, SIP
+//! and the bulletin.
 
 mod support;
 
@@ -92,7 +92,8 @@
         world.answer(&name(1)).await;
         bulletin.tell(false, vec![host("s0", servers[0].at, 0, "draining")]);
         let listed = world.until_all("the lists", 2, |s| matches!(s.what, What::Told(_))).await[1].at;
-        // Calls continue to arrive. From 250 ms after the bulletin lists the drain, none may reach the draining call server.
+        // Calls continue to arrive. From 250 ms after the bulletin lists the drain, none may reach the draining call
+        // server.
         for n in 2..60 {
             caller.open(&name(n), 2_000, 0, "x").await;
             world.answer(&name(n)).await;
@@ -253,8 +254,8 @@
         let (controller, servers, bulletin) = Controller::with_servers(&world, &[answer_with("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         let other = Caller::connect(&world, "d", controller.at).await;
-        // A line that cannot be parsed closes its connection. A set-up whose sid can be read is refused, and the connection
-        // stays open.
+        // A line that cannot be parsed closes its connection. A set-up whose sid can be read is refused, and the
+        // connection stays open.
         let malformed =
             [&b"{\"msg\":\"open\"\n"[..], b"[]\n", b"\xff\xfe\n", b"{\"msg\":\"open\",\"sid\":\"short\"}\n"];
         for line in malformed {
