--- a/src/cli.rs
+++ b/src/cli.rs
@@ -54,20 +54,20 @@
         json: bool,
     },
     /// Print the state of the agent's instances and of the call servers that they know.
-    Status(Ask),
+    Status(AgentArgs),
     /// Print the counters of the agent's instances.
-    Stats(Ask),
+    Stats(AgentArgs),
     /// Make the agent reread its file, as SIGHUP does.
-    Reload(Ask),
+    Reload(AgentArgs),
     /// Check whether a controller can serve callers.
-    Ping(Call),
+    Ping(ConsoleArgs),
     /// Print the metrics of a controller.
-    Info(Call),
+    Info(ConsoleArgs),
     /// Send callers away from a controller, which keeps running until `rejoin` or `stop`.
     #[command(alias = "drain")]
-    Lameduck(Call),
+    Lameduck(ConsoleArgs),
     /// Let a controller accept callers again after `lameduck`.
-    Rejoin(Call),
+    Rejoin(ConsoleArgs),
     /// Query and change the state that controllers share.
     #[command(subcommand)]
     Fleet(FleetCommands),
@@ -75,21 +75,21 @@
     #[command(subcommand)]
     Store(StoreCommands),
     /// Stop instances once all their pending calls are answered; if no instance is named, the agent stops too.
-    Stop(Ask),
+    Stop(AgentArgs),
 }
 
 #[derive(Debug, Subcommand)]
 enum StoreCommands {
     /// Print the number and size of the records.
-    Info(Records),
+    Info(StoreArgs),
     /// Verify all checksums, and that all records can be read.
-    Verify(Records),
+    Verify(StoreArgs),
     /// Print all records, one per line.
-    Dump(Records),
+    Dump(StoreArgs),
 }
 
 #[derive(Debug, Args)]
-struct Records {
+struct StoreArgs {
     /// The file that `[instance.store]` names.
     file: PathBuf,
     /// Print JSON.
@@ -100,7 +100,7 @@
 #[derive(Debug, Subcommand)]
 enum FleetCommands {
     /// Print the state of the call servers as known to the fleet and to this controller, and the permits that it holds.
-    Limits(Call),
+    Limits(ConsoleArgs),
     /// Set a replicated setting, at a source. KEY is all/PATH or service/SERVICE/PATH, VALUE is JSON.
     Set {
         /// The key.
@@ -131,7 +131,7 @@
 }
 
 #[derive(Debug, Args)]
-struct Ask {
+struct AgentArgs {
     /// Name of an instance; all instances if it is left out.
     instance: Option<String>,
     /// The agent's control socket.
@@ -143,9 +143,9 @@
 }
 
 #[derive(Debug, Args)]
-struct Call {
+struct ConsoleArgs {
     #[command(flatten)]
-    ask: Ask,
+    agent: AgentArgs,
     /// Address of a controller's console, such as that of the platform's controller, to query instead of the agent.
     #[arg(long, conflicts_with = "instance")]
     console: Option<SocketAddr>,
@@ -162,27 +162,27 @@
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return complain(FAILED, &format!("cannot start the async runtime: {error}")),
+        Err(error) => return report_error(FAILED, &format!("cannot start the async runtime: {error}")),
     };
     match cli.command {
         None => runtime.block_on(platform()),
         Some(Commands::Agent { config }) => LocalSet::new().block_on(&runtime, agent(config)),
         Some(Commands::Check { file, json }) => check(&file, json),
-        Some(Commands::Status(ask)) => runtime.block_on(run_agent_command(Command::Status, ask)),
-        Some(Commands::Stats(ask)) => runtime.block_on(run_agent_command(Command::Stats, ask)),
-        Some(Commands::Reload(ask)) => runtime.block_on(run_agent_command(Command::Reload, ask)),
-        Some(Commands::Ping(call)) => runtime.block_on(run_console_command(Command::Ping, call)),
-        Some(Commands::Info(call)) => runtime.block_on(run_console_command(Command::Info, call)),
-        Some(Commands::Lameduck(call)) => runtime.block_on(run_console_command(Command::Lameduck, call)),
-        Some(Commands::Rejoin(call)) => runtime.block_on(run_console_command(Command::Rejoin, call)),
+        Some(Commands::Status(args)) => runtime.block_on(run_agent_command(Command::Status, args)),
+        Some(Commands::Stats(args)) => runtime.block_on(run_agent_command(Command::Stats, args)),
+        Some(Commands::Reload(args)) => runtime.block_on(run_agent_command(Command::Reload, args)),
+        Some(Commands::Ping(args)) => runtime.block_on(run_console_command(Command::Ping, args)),
+        Some(Commands::Info(args)) => runtime.block_on(run_console_command(Command::Info, args)),
+        Some(Commands::Lameduck(args)) => runtime.block_on(run_console_command(Command::Lameduck, args)),
+        Some(Commands::Rejoin(args)) => runtime.block_on(run_console_command(Command::Rejoin, args)),
         Some(Commands::Fleet(command)) => runtime.block_on(fleet_command(command)),
         Some(Commands::Store(command)) => store_command(command),
-        Some(Commands::Stop(ask)) => runtime.block_on(run_agent_command(Command::Stop, ask)),
+        Some(Commands::Stop(args)) => runtime.block_on(run_agent_command(Command::Stop, args)),
     }
 }
 
 /// Prints an error on one line and returns the exit code.
-fn complain(code: u8, error: &str) -> ExitCode {
+fn report_error(code: u8, error: &str) -> ExitCode {
     eprintln!("lockpoint: {}", error.replace('\n', " "));
     ExitCode::from(code)
 }
@@ -247,11 +247,11 @@
     let (reload_signal, stop) = (ReloadSignal::new(), stop_signal());
     let config = match platform_config() {
         Ok(config) => config,
-        Err(error) => return complain(BAD_CONFIG, &error.to_string()),
+        Err(error) => return report_error(BAD_CONFIG, &error.to_string()),
     };
     let _log = match logs::start(&LogConfig::default()) {
         Ok(log) => log,
-        Err(why) => return complain(BAD_CONFIG, &why),
+        Err(why) => return report_error(BAD_CONFIG, &why),
     };
     let before = match takeover_directory(&config, std::env::var_os("TMPDIR")) {
         Some(dir) => Before::at(takeover::place(&dir, &config.name)),
@@ -267,7 +267,7 @@
             tracing::info!("{}", counters.line());
             ExitCode::SUCCESS
         }
-        Err(error) => complain(BAD_CONFIG, &error.to_string()),
+        Err(error) => report_error(BAD_CONFIG, &error.to_string()),
     }
 }
 
@@ -282,11 +282,11 @@
     let (reload_signal, stop) = (ReloadSignal::new(), stop_signal());
     let config = match config::from_file(&file) {
         Ok(config) => config,
-        Err(error) => return complain(BAD_CONFIG, &error.to_string()),
+        Err(error) => return report_error(BAD_CONFIG, &error.to_string()),
     };
     let _log = match logs::start(&config.log) {
         Ok(log) => log,
-        Err(why) => return complain(BAD_CONFIG, &format!("{}: {why}", file.display())),
+        Err(why) => return report_error(BAD_CONFIG, &format!("{}: {why}", file.display())),
     };
     let reload = Notify::new();
     let running = control::run(file, config, stop, &reload);
@@ -296,7 +296,7 @@
     };
     match ended {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => complain(BAD_CONFIG, &error.to_string()),
+        Err(error) => report_error(BAD_CONFIG, &error.to_string()),
     }
 }
 
@@ -321,15 +321,15 @@
             println!("{}: {} instance(s), no fault found", file.display(), config.instances.len());
             ExitCode::SUCCESS
         }
-        Err(error) => complain(BAD_CONFIG, &error.to_string()),
+        Err(error) => report_error(BAD_CONFIG, &error.to_string()),
     }
 }
 
 /// Runs a console command at instances of the agent, or at the controller whose console is given.
-async fn run_console_command(command: Command, call: Call) -> ExitCode {
-    let Some(console) = call.console else { return run_agent_command(command, call.ask).await };
+async fn run_console_command(command: Command, args: ConsoleArgs) -> ExitCode {
+    let Some(console) = args.console else { return run_agent_command(command, args.agent).await };
     match ask_console(command, console).await {
-        Ok(answer) => print_console_answers(&[answer], call.ask.json),
+        Ok(answer) => print_console_answers(&[answer], args.agent.json),
         Err(code) => code,
     }
 }
@@ -343,17 +343,17 @@
         _ => console::Call::Ping,
     };
     let answer = console::ask(console, console_command).await;
-    let answer =
-        answer.map_err(|error| complain(NO_AGENT, &format!("no console answers at {console}: {error}")))?;
+    let answer = answer
+        .map_err(|error| report_error(NO_AGENT, &format!("no console answers at {console}: {error}")))?;
     Ok(ConsoleAnswer { name: console.to_string(), answer })
 }
 
 /// Inspects the records of a controller.
 fn store_command(command: StoreCommands) -> ExitCode {
     let result = match command {
-        StoreCommands::Info(Records { file, json }) => store::info(&file, json).map(|text| (true, text)),
-        StoreCommands::Verify(Records { file, json }) => store::verify(&file, json),
-        StoreCommands::Dump(Records { file, json }) => store::dump(&file, json).map(|text| (true, text)),
+        StoreCommands::Info(StoreArgs { file, json }) => store::info(&file, json).map(|text| (true, text)),
+        StoreCommands::Verify(StoreArgs { file, json }) => store::verify(&file, json),
+        StoreCommands::Dump(StoreArgs { file, json }) => store::dump(&file, json).map(|text| (true, text)),
     };
     match result {
         Ok((ok, text)) => {
@@ -364,13 +364,13 @@
                 ExitCode::from(FAILED)
             }
         }
-        Err(error) => complain(BAD_CONFIG, &error.to_string()),
+        Err(error) => report_error(BAD_CONFIG, &error.to_string()),
     }
 }
 
 async fn fleet_command(command: FleetCommands) -> ExitCode {
     match command {
-        FleetCommands::Limits(call) => fleet_limits(call).await,
+        FleetCommands::Limits(args) => fleet_limits(args).await,
         FleetCommands::Set { key, value, wait } => replication::set(key, &value, wait).await,
         FleetCommands::Unset { key, wait } => replication::unset(key, wait).await,
         FleetCommands::Config(target) => replication::config(target).await,
@@ -380,16 +380,18 @@
 }
 
 /// Prints the state of the call servers as known to the fleet, taken from the controllers' metrics.
-async fn fleet_limits(call: Call) -> ExitCode {
-    let answers = match call.console {
+async fn fleet_limits(args: ConsoleArgs) -> ExitCode {
+    let answers = match args.console {
         Some(console) => ask_console(Command::Info, console).await.map(|answer| vec![answer]),
         None => {
-            let request = Request { command: Command::Info, instance: call.ask.instance };
-            match control::send_request(&call.ask.control, &request).await {
+            let request = Request { command: Command::Info, instance: args.agent.instance };
+            match control::send_request(&args.agent.control, &request).await {
                 Ok(Reply::ConsoleAnswers { instances }) => Ok(instances),
-                Ok(Reply::Error { why }) => Err(complain(FAILED, &why)),
-                Ok(other) => Err(complain(FAILED, &format!("unexpected reply from the agent: {other:?}"))),
-                Err(error) => Err(complain(NO_AGENT, &error.to_string())),
+                Ok(Reply::Error { why }) => Err(report_error(FAILED, &why)),
+                Ok(other) => {
+                    Err(report_error(FAILED, &format!("unexpected reply from the agent: {other:?}")))
+                }
+                Err(error) => Err(report_error(NO_AGENT, &error.to_string())),
             }
         }
     };
@@ -397,7 +399,7 @@
         Ok(answers) => answers.iter().map(fleet::read).collect(),
         Err(code) => return code,
     };
-    if call.ask.json {
+    if args.agent.json {
         println!("{}", serde_json::to_string(&limits).unwrap_or_default());
     } else {
         limits.iter().for_each(|limits| print!("{}", fleet::table(limits)));
@@ -421,19 +423,19 @@
 }
 
 /// Sends a command to the agent and prints its reply.
-async fn run_agent_command(command: Command, ask: Ask) -> ExitCode {
-    let request = Request { command, instance: ask.instance };
-    let reply = match control::send_request(&ask.control, &request).await {
+async fn run_agent_command(command: Command, args: AgentArgs) -> ExitCode {
+    let request = Request { command, instance: args.instance };
+    let reply = match control::send_request(&args.control, &request).await {
         Ok(reply) => reply,
-        Err(error) => return complain(NO_AGENT, &error.to_string()),
+        Err(error) => return report_error(NO_AGENT, &error.to_string()),
     };
     if let Reply::Error { why } = &reply {
-        return complain(FAILED, why);
+        return report_error(FAILED, why);
     }
     if let Reply::ConsoleAnswers { instances } = &reply {
-        return print_console_answers(instances, ask.json);
+        return print_console_answers(instances, args.json);
     }
-    if ask.json {
+    if args.json {
         println!("{}", serde_json::to_string(&reply).unwrap_or_default());
         return ExitCode::SUCCESS;
     }
--- a/src/cli/replication.rs
+++ b/src/cli/replication.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use super::{complain, BAD_CONFIG, FAILED, NO_AGENT};
+use super::{report_error, BAD_CONFIG, FAILED, NO_AGENT};
 use crate::control::replication::{
     send_replication_request, AcknowledgedView, ChangeId, ConfigView, MemberView, Operation,
     ReplicationReply, ReplicationRequest,
@@ -45,7 +45,7 @@
 pub async fn set(key: String, value: &str, wait: Wait) -> ExitCode {
     match serde_json::from_str::<Value>(value) {
         Ok(value) => change(Operation::Set { key, value }, wait).await,
-        Err(error) => complain(BAD_CONFIG, &format!("the value is not valid JSON: {error}")),
+        Err(error) => report_error(BAD_CONFIG, &format!("the value is not valid JSON: {error}")),
     }
 }
 
@@ -106,15 +106,15 @@
 async fn ask(target: &Target, operation: Operation) -> Result<ReplicationReply, ExitCode> {
     let request = ReplicationRequest { replication: operation, instance: target.instance.clone() };
     let reply = send_replication_request(&target.control, &request).await;
-    reply.map_err(|error| complain(NO_AGENT, &error.to_string()))
+    reply.map_err(|error| report_error(NO_AGENT, &error.to_string()))
 }
 
 /// Reports an error reply, or one of the wrong kind.
 fn unexpected(reply: Result<ReplicationReply, ExitCode>) -> ExitCode {
     match reply {
         Err(code) => code,
-        Ok(ReplicationReply::Error { why }) => complain(FAILED, &why),
-        Ok(other) => complain(FAILED, &format!("unexpected reply from the agent: {other:?}")),
+        Ok(ReplicationReply::Error { why }) => report_error(FAILED, &why),
+        Ok(other) => report_error(FAILED, &format!("unexpected reply from the agent: {other:?}")),
     }
 }
 
