--- a/src/instance.rs
+++ b/src/instance.rs
@@ -155,13 +155,13 @@
         self.resume_connections(pending);
         self.recover();
         // Unreadable events are requested from the bulletin later.
-        let _ = self.take_bulletin_page(config.known.clone());
+        let _ = self.take_bulletin_page(config.initial_page.clone());
         self.apply(|state, todo| state.register(&config, self.0.clock.now(), todo));
         let timer = spawn_local(self.clone().run_timer());
         let listener = listeners.callers.borrow().clone();
         let acceptor = listener.map(|listener| spawn_local(self.clone().accept(listener)));
         if let Some(console) = listeners.console.clone() {
-            spawn_local(self.clone().serve_console(console, config.limits.operators()));
+            spawn_local(self.clone().serve_console(console, config.limits.console_connections()));
         }
         spawn_local(self.clone().follow(self.0.directories.subscribe()));
         let (callers, servers) = {
@@ -193,7 +193,7 @@
             self.begin_stop();
             let accepts_until = self.0.state.borrow().drain.accepts_connections_until();
             tokio::time::sleep_until(self.0.clock.until(accepts_until.unwrap_or_default())).await;
-            self.close_listener(&listeners, acceptor, config.inherited.is_some()).await;
+            self.close_listener(&listeners, acceptor, config.inherited_fd.is_some()).await;
             while !self.may_exit() {
                 tokio::time::sleep(STOP_CHECK_INTERVAL).await;
             }
--- a/src/instance/callers.rs
+++ b/src/instance/callers.rs
@@ -73,7 +73,7 @@
 impl State {
     /// Limits callers' connections to what is left beside those to the listed call servers.
     pub(super) fn limit_client_connections(&mut self, limits: Limits) {
-        self.client_connections.set_max(limits.callers_beside(self.core.listed_servers().count()));
+        self.client_connections.set_max(limits.client_connections_beside(self.core.listed_servers().count()));
     }
 
     /// Closes callers' connections in favour of those to call servers, the least used first. Guards against idle
--- a/src/instance/handover.rs
+++ b/src/instance/handover.rs
@@ -191,11 +191,11 @@
         let mut state = self.0.state.borrow_mut();
         let state = &mut *state;
         state.core = inherited.core.resume(config.core.clone());
-        let max_callers = limits.callers_beside(state.core.listed_servers().count());
+        let max_callers = limits.client_connections_beside(state.core.listed_servers().count());
         state.client_connections = inherited.client_connections.resume(max_callers, &self.0.caller_bytes);
         state.next_client = inherited.next_client;
         let has_socket = |no: u64| connections.contains_key(&(Side::Server, no));
-        let sip = inherited.sip.resume(&self.0.server_bytes, limits.links(), has_socket);
+        let sip = inherited.sip.resume(&self.0.server_bytes, limits.extra_server_connections(), has_socket);
         (state.sip, pending.to_connect) = (sip.trunks, sip.to_make);
         pending.lost.extend(sip.lost.into_iter().map(|no| (Side::Server, no)));
         let without_socket = state
--- a/src/instance/reload.rs
+++ b/src/instance/reload.rs
@@ -46,8 +46,8 @@
                 // Settings change as a whole or not at all. Guards against calls served by the classes of one file
                 // and the zones, times and limits of another: values that belong to the settings stay with them.
                 config.zones = self.0.directories.borrow().zones.clone();
-                config.usual_left = state.iax2_front.default_left();
-                config.known = Page::default(); // read with the other file's zones; the bulletin provides it too
+                config.default_caller_wait = state.iax2_front.default_left();
+                config.initial_page = Page::default(); // read with the other file's zones; the bulletin provides it too
                 config.connect_timeout = span_of(self.0.connect_timeout.get());
             }
             let fleet = state.core.fleet_config_matches(config.core.fleet.as_ref());
@@ -74,14 +74,14 @@
             state.peers = config.peers.clone();
             let iax2 = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds));
             let (tokens, bounds) = iax2.unwrap_or_default();
-            state.iax2_front.reconfigure(config.usual_left, &config.zones, tokens, bounds);
+            state.iax2_front.reconfigure(config.default_caller_wait, &config.zones, tokens, bounds);
             state.iax2_servers.set_account(config.secrets.account.as_ref());
             match random() {
                 Ok(key) => state.iax2_front.set_users(config.secrets.users.as_ref(), key),
                 Err(error) => tracing::error!(%error, "cannot load the IAX2 users; the previous ones stay"),
             }
             state.limit_client_connections(config.limits);
-            state.sip.set_max_links(config.limits.links());
+            state.sip.set_max_links(config.limits.extra_server_connections());
             state.counters.reloads += 1;
         }
         self.0.limits.set(config.limits);
@@ -92,10 +92,10 @@
             state.register(&config, now, todo);
         });
         self.0.pool.set_max(config.limits.buffers());
-        self.0.caller_bytes.set_max(config.limits.eighth());
-        self.0.server_bytes.set_max(config.limits.eighth());
+        self.0.caller_bytes.set_max(config.limits.memory_share());
+        self.0.server_bytes.set_max(config.limits.memory_share());
         // Events of the file after the last one taken come first: the bulletin continues their numbers.
-        let known = config.known.clone();
+        let known = config.initial_page.clone();
         let _ = self.take_bulletin_page(known); // unreadable events are requested from the bulletin later
         self.0.directories.send_if_modified(|directories| {
             let next = DirectoryConfig::of(&config);
--- a/src/instance/startup.rs
+++ b/src/instance/startup.rs
@@ -87,7 +87,7 @@
         let in_use_by_predecessor =
             |error: &io::Error| has_predecessor && error.kind() == io::ErrorKind::AddrInUse;
         let fail = |key, address| move |why| StartError::Listen { key, address, why };
-        let listener = match (config.inherited, config.listen) {
+        let listener = match (config.inherited_fd, config.listen) {
             (Some(descriptor), _) => {
                 let taken = takeover::inherited_listener(descriptor).and_then(TcpListener::from_std);
                 Some(taken.map_err(|why| StartError::Inherited { descriptor, why })?)
@@ -150,12 +150,13 @@
         });
         let record_writer = record_writer.transpose()?;
         let limits = config.limits;
-        let (caller_bytes, server_bytes) = (Budget::new(limits.eighth()), Budget::new(limits.eighth()));
+        let (caller_bytes, server_bytes) =
+            (Budget::new(limits.memory_share()), Budget::new(limits.memory_share()));
         let state = State {
             core: Core::new(config.core.clone()),
-            client_connections: ClientConnections::new(limits.callers()),
+            client_connections: ClientConnections::new(limits.client_connections()),
             next_client: 0,
-            sip: Trunks::with_budget(&server_bytes, limits.links()),
+            sip: Trunks::with_budget(&server_bytes, limits.extra_server_connections()),
             iax2_front: iax2_front(&config)?,
             iax2_servers: iax2_servers(&config),
             iax2_front_socket,
@@ -254,13 +255,13 @@
 fn iax2_front(config: &InstanceConfig) -> Result<Callers, StartError> {
     let usual = Defaults {
         class: config.core.classes.first().cloned().unwrap_or_else(|| "".into()),
-        left: config.usual_left,
+        left: config.default_caller_wait,
         zones: config.zones.clone(),
         seed: config.core.seed,
     };
     let (tokens, bounds) = config.iax2.as_ref().map(|iax2| (iax2.tokens, iax2.bounds)).unwrap_or_default();
     let mut callers = Callers::new(usual, CallTokenGate::new(tokens, random()?));
-    callers.reconfigure(config.usual_left, &config.zones, tokens, bounds);
+    callers.reconfigure(config.default_caller_wait, &config.zones, tokens, bounds);
     callers.set_users(config.secrets.users.as_ref(), random()?);
     Ok(callers)
 }
--- a/tests/replication_settings.rs
+++ b/tests/replication_settings.rs
@@ -15,7 +15,7 @@
 /// Returns the settings in force with these values, all of which must be valid.
 fn in_force(values: &[(&str, &str)]) -> Value {
     let values = values.iter().map(|(key, value)| (*key, value.as_bytes()));
-    let (config, left_out) = overlay().in_force(values);
+    let (config, left_out) = overlay().effective_config(values);
     assert_eq!(left_out, []);
     config.settings
 }
@@ -45,25 +45,30 @@
 #[test]
 fn values_derived_from_the_settings_follow_replicated_values() {
     let values = [("all/bounds.most-held", "7"), ("all/bounds.connect-timeout-us", "250000")];
-    let (config, left_out) = overlay().in_force(values.iter().map(|(key, value)| (*key, value.as_bytes())));
+    let (config, left_out) =
+        overlay().effective_config(values.iter().map(|(key, value)| (*key, value.as_bytes())));
     assert_eq!(left_out, []);
     assert_eq!((config.core.max_pending_calls, config.connect_timeout.0), (7, 250_000));
 }
 
 #[rstest]
-#[case::without_prefix("rules.cold-share", "0.1", "a key is all/PATH or service/SERVICE/PATH")]
-#[case::without_service("service//rules.cold-share", "0.1", "a key is all/PATH or service/SERVICE/PATH")]
-#[case::unknown_path("all/rules.no-such", "1", "there is no such setting")]
-#[case::whole_section("all/rules", "{}", "there is no such setting")]
-#[case::list_of_classes("all/classes", "[]", "cannot take other lists")]
-#[case::list_of_zones("all/zones", "[]", "cannot take other lists")]
-#[case::name_of_a_row("all/classes.judge-call.name", "\"x\"", "cannot take other lists")]
+#[case::without_prefix("rules.cold-share", "0.1", "invalid key, expected all/PATH or service/SERVICE/PATH")]
+#[case::without_service(
+    "service//rules.cold-share",
+    "0.1",
+    "invalid key, expected all/PATH or service/SERVICE/PATH"
+)]
+#[case::unknown_path("all/rules.no-such", "1", "unknown setting")]
+#[case::whole_section("all/rules", "{}", "unknown setting")]
+#[case::list_of_classes("all/classes", "[]", "cannot change while the controller runs")]
+#[case::list_of_zones("all/zones", "[]", "cannot change while the controller runs")]
+#[case::name_of_a_row("all/classes.judge-call.name", "\"x\"", "cannot change while the controller runs")]
 #[case::unknown_row("all/classes.nobody.worth", "1", "'classes' has no row named 'nobody'")]
-#[case::not_json("all/rules.cold-share", "much", "no JSON")]
-#[case::share_above_one("all/rules.cold-share", "1.5", "1.5 is not from 0 to 1")]
-#[case::share_below_zero("all/over-share-worth", "-0.1", "-0.1 is not from 0 to 1")]
+#[case::not_json("all/rules.cold-share", "much", "invalid JSON")]
+#[case::share_above_one("all/rules.cold-share", "1.5", "1.5 is not between 0 and 1")]
+#[case::share_below_zero("all/over-share-worth", "-0.1", "-0.1 is not between 0 and 1")]
 #[case::wrong_type("all/rules.cold-us", "\"long\"", "invalid type")]
-#[case::not_a_whole_number("all/bounds.most-held", "0", "no whole number above 0")]
+#[case::not_a_whole_number("all/bounds.most-held", "0", "0 is not a positive integer")]
 fn an_invalid_value_is_refused_with_an_error_that_names_its_key(
     #[case] key: &str,
     #[case] value: &str,
@@ -72,7 +77,7 @@
     let error = overlay().check(key, Some(value.as_bytes())).expect_err("refused").to_string();
     assert!(error.contains(key) && error.contains(why), "{error}");
     // An invalid value that is in the store anyway is ignored, and the file's setting stays in force.
-    let (config, left_out) = overlay().in_force([(key, value.as_bytes())].into_iter());
+    let (config, left_out) = overlay().effective_config([(key, value.as_bytes())].into_iter());
     assert_eq!((config.settings, left_out.len()), (overlay().file().settings.clone(), 1));
 }
 
@@ -81,7 +86,7 @@
 fn an_unknown_row_is_refused_only_for_the_own_service() {
     assert_eq!(overlay().check("service/judges/classes.nobody.worth", Some(b"1")), Ok(()));
     let own = overlay().check("service/desks/classes.nobody.worth", Some(b"1"));
-    assert!(matches!(own, Err(OverlayError::Row { .. })), "{own:?}");
+    assert!(matches!(own, Err(OverlayError::UnknownRow { .. })), "{own:?}");
 }
 
 #[test]
