--- a/src/rules/in_flight.rs
+++ b/src/rules/in_flight.rs
@@ -7,8 +7,9 @@
 impl Controller {
     /// The outstanding set-ups according to the decision module.
     pub(crate) fn in_flight(&self) -> BTreeSet<(ServerId, CallId)> {
-        let of_server =
-            |(id, s): (&ServerId, &Server)| s.outstanding.iter().map(|o| (*id, o.call)).collect::<Vec<_>>();
+        let of_server = |(id, server): (&ServerId, &Server)| {
+            server.outstanding.iter().map(|attempt| (*id, attempt.call)).collect::<Vec<_>>()
+        };
         self.servers.iter().flat_map(of_server).collect()
     }
 }
--- a/src/window.rs
+++ b/src/window.rs
@@ -36,7 +36,7 @@
         self.remove_expired(now);
     }
 
-    /// Returns (requests, accepts) within the window.
+    /// Removes expired entries and returns (requests, accepts) within the window.
     pub fn counts(&mut self, now: Time) -> (u32, u32) {
         self.remove_expired(now);
         (self.requests, self.accepts)
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -359,7 +359,7 @@
     /// Appends an action of an instance.
     pub fn push(&mut self, instance: InstanceNo, action: &Action) {
         if matches!(action, Action::RequestPermits { .. } | Action::LendPermits { .. }) {
-            return; // the simulator's protocol has no record for them
+            return; // the simulator's protocol has no record for them: its controllers share no permits
         }
         if self.instance != Some(instance) {
             self.instance = Some(instance);
