--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -71,7 +71,7 @@
         let heard = heard(controller.at, &says).await;
         assert!(!heard.contains("ready"), "{heard}");
         assert!(heard.contains(answer), "{heard}");
-        controller.turns("its connection is gone", |i| i.counters().clients == 0).await;
+        controller.wait_for("its connection is gone", |i| i.counters().clients == 0).await;
         assert_eq!(controller.instance.counters().open, 0);
     });
 }
@@ -88,7 +88,7 @@
         config.limits.sockets = 64;
         let room = config.limits.callers();
         let controller = Controller::start(config).await;
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         let mut silent = Vec::new();
         for _ in 0..2 * room {
             silent.push(TcpStream::connect(controller.at).await.expect("it listens"));
@@ -121,7 +121,7 @@
         assert_eq!(controller.instance.counters().open, 256);
         let usual = Caller::connect(&world, "usual", controller.at).await;
         usual.open(&name(1_000), 9_000, 0, "x").await;
-        controller.turns("the usual one is taken", |i| i.counters().open == 257).await;
+        controller.wait_for("the usual one is taken", |i| i.counters().open == 257).await;
     });
 }
 
--- a/tests/bad_peers.rs
+++ b/tests/bad_peers.rs
@@ -54,7 +54,7 @@
         for n in 1..=20 {
             let before = controller.instance.counters().connected;
             servers[0].reset();
-            controller.turns("a connection is there anew", |i| i.counters().connected > before).await;
+            controller.wait_for("a connection is there anew", |i| i.counters().connected > before).await;
             caller.open(&name(n), 9_000, 0, "x").await;
             assert_eq!(world.answer(&name(n)).await.what, What::Ready("a".into()));
         }
@@ -79,7 +79,7 @@
         let drains = |i: &lockpoint::instance::Instance| {
             i.servers().iter().any(|l| l.state == lockpoint::interface::ServerState::Draining)
         };
-        controller.turns("the drain is heard", drains).await;
+        controller.wait_for("the drain is heard", drains).await;
         assert!(told.elapsed() < Duration::from_secs(2), "heard after {:?}", told.elapsed());
         assert!(controller.instance.counters().bulletin_failures > 0);
     });
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Two events that meet in one moment: shutdown, retries, connections that close, lists, drains, late answers, cancels and
-//! reloads. Each crossing is forced by a stand-in that holds one side; docs/crossings.md lists them by these names.
+//! Races between two events: shutdown, retries, closing connections, list updates, drains, late answers, cancels and
+//! reloads. Each test forces the order of events with a scripted peer; docs/crossings.md lists the races by test name.
 
 mod support;
 
@@ -15,209 +15,212 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use support::iax2::{Resolver, SERVICE};
-use support::{config, in_time, name, on_one_thread, Caller, Controller, Hand, Seen, What, World};
+use support::{config, in_time, name, on_one_thread, Caller, Controller, ScriptedServer, Seen, What, World};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-const REST: Duration = Duration::from_millis(500);
+const RESEND_DELAY: Duration = Duration::from_millis(500);
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
+fn received(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
     move |seen| seen.sid == sid && seen.what == what
 }
 
-fn finals(world: &World, sid: &str) -> usize {
+fn final_messages(world: &World, sid: &str) -> usize {
     world.count(|s| s.sid == sid && matches!(s.what, What::Ready(_) | What::Close(..)))
 }
 
 // ---- Shutdown ------------------------------------------------------------------------------------------------
 
-/// SIGTERM with a set-up out: its answer comes afterwards and is passed on, once, before the process ends.
+/// SIGTERM arrives while a set-up is outstanding: the later answer is passed on exactly once before the process ends.
 #[test]
-fn sigterm_with_a_set_up_out() {
+fn sigterm_waits_for_the_answer_to_an_outstanding_set_up() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         controller.ask_to_stop();
-        controller.turns("it stops", |i| i.stopping()).await;
-        wire.answers(&name(1), "y").await;
+        controller.wait_for("the controller is stopping", |i| i.stopping()).await;
+        connection.answers(&name(1), "y").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
         let counters = controller.stop().await;
-        assert_eq!((counters.open, counters.completed, finals(&world, &name(1))), (0, 1, 1));
+        assert_eq!((counters.open, counters.completed, final_messages(&world, &name(1))), (0, 1, 1));
     });
 }
 
-/// SIGTERM with a call in its rest: it rests to the end, goes out once more, and is answered before the process ends.
+/// SIGTERM arrives during a call's resend delay: the delay runs to its end, the set-up is sent once more, and the caller is
+/// answered before the process ends.
 #[test]
-fn sigterm_with_a_call_waiting_for_its_rest() {
+fn sigterm_waits_for_a_call_in_its_resend_delay() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         let reset = Instant::now();
-        wire.replies(&name(1), 504, "").await;
-        wire.hears("ACK").await;
+        connection.replies(&name(1), 504, "").await;
+        connection.expect_request("ACK").await;
         controller.ask_to_stop();
-        wire.hears("INVITE").await;
-        assert!(reset.elapsed() >= REST, "after {:?}", reset.elapsed());
-        wire.answers(&name(1), "y").await;
+        connection.expect_request("INVITE").await;
+        assert!(reset.elapsed() >= RESEND_DELAY, "after {:?}", reset.elapsed());
+        connection.answers(&name(1), "y").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
         let counters = controller.stop().await;
-        assert_eq!((counters.open, counters.attempts, finals(&world, &name(1))), (0, 2, 1));
+        assert_eq!((counters.open, counters.attempts, final_messages(&world, &name(1))), (0, 2, 1));
     });
 }
 
-/// SIGTERM with a set-up on a connection that is still coming up: it leaves once that stands.
+/// SIGTERM arrives while a set-up waits for its connection to be established: it is sent once the connection is up.
 #[test]
-fn sigterm_with_a_set_up_on_a_connection_coming_up() {
+fn sigterm_waits_for_a_set_up_queued_on_a_pending_connection() {
     on_one_thread(async {
         let world = World::default();
-        let (hand, fill) = Hand::full("s0").await;
-        let long = |config: &mut lockpoint::config::InstanceConfig| {
+        let (server, fill) = ScriptedServer::with_full_backlog("s0").await;
+        let long_timeout = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = Span::from_millis(60_000);
         };
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], long).await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], long_timeout).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        controller.turns("it is taken", |i| i.counters().attempts == 1).await;
+        controller.wait_for("the attempt has started", |i| i.counters().attempts == 1).await;
         controller.ask_to_stop();
-        controller.turns("it stops", |i| i.stopping()).await;
+        controller.wait_for("the controller is stopping", |i| i.stopping()).await;
         drop(fill);
         let mut kept = Vec::new();
         loop {
-            let mut wire = hand.greets().await;
-            match tokio::time::timeout(Duration::from_millis(1_000), wire.next()).await {
+            let mut connection = server.accept_ready().await;
+            match tokio::time::timeout(Duration::from_millis(1_000), connection.next()).await {
                 Ok(Some((method, _))) if method == "INVITE" => {
-                    wire.answers(&name(1), "y").await;
-                    kept.push(wire);
+                    connection.answers(&name(1), "y").await;
+                    kept.push(connection);
                     break;
                 }
-                _ => kept.push(wire),
+                _ => kept.push(connection),
             }
         }
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
         let counters = controller.stop().await;
-        assert_eq!((counters.open, counters.attempts, finals(&world, &name(1))), (0, 1, 1));
+        assert_eq!((counters.open, counters.attempts, final_messages(&world, &name(1))), (0, 1, 1));
     });
 }
 
-/// SIGTERM and a caller who comes so late that nobody stands at the door: it is refused, not left waiting.
+/// A caller that connects after SIGTERM is refused at once instead of waiting in the accept queue of a listener that nobody
+/// serves any more.
 #[test]
-fn sigterm_and_a_caller_who_comes_late() {
+fn sigterm_refuses_new_client_connections() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
-        // It waits for its answer, and so does the process.
+        // The pending answer keeps the process running.
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         controller.ask_to_stop();
         let refused = async {
             loop {
                 match Caller::try_connect(&world, "late", controller.at).await {
                     Err(error) if error.kind() == std::io::ErrorKind::ConnectionRefused => return,
-                    // It came in the moment when the door was closed.
+                    // Connected while the listener was being closed.
                     Err(_) => {}
                     Ok(late) => drop(late),
                 }
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        in_time("a late one is refused", refused).await;
-        assert_eq!(controller.instance.counters().open, 1, "what was taken is still seen to");
-        wire.answers(&name(1), "y").await;
+        in_time("a late client connection is refused", refused).await;
+        assert_eq!(controller.instance.counters().open, 1, "the accepted call is still pending");
+        connection.answers(&name(1), "y").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
         controller.stop().await;
     });
 }
 
-/// SIGTERM closes a caller's connection in the moment when the caller ends its call on it: the call server hears of it.
+/// The controller closes a client connection on SIGTERM while the caller hangs up on it: the call server still gets the
+/// release.
 #[test]
-fn sigterm_closes_a_connection_on_which_a_call_is_ended() {
+fn a_hang_up_that_crosses_the_close_at_sigterm_reaches_the_call_server() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let mut caller = TcpStream::connect(controller.at).await.expect("it listens");
         let attrs = json!({"class": "judge-call", "left": "9000", "key": "7f"});
         let open = json!({"msg": "open", "sid": name(1), "attrs": attrs, "text": "x"});
         caller.write_all(format!("{open}\n").as_bytes()).await.expect("written");
-        wire.hears("INVITE").await;
-        wire.answers(&name(1), "y").await;
-        controller.turns("it stands", |i| i.counters().standing == 1).await;
+        connection.expect_request("INVITE").await;
+        connection.answers(&name(1), "y").await;
+        controller.wait_for("the call is established", |i| i.counters().standing == 1).await;
         controller.ask_to_stop();
-        // Read to the end: the controller has closed its half. What is said now crosses that.
-        let mut heard = String::new();
-        in_time("the end", caller.read_to_string(&mut heard)).await.expect("read");
-        assert!(heard.contains("ready"), "{heard}");
+        // At end of file the controller has closed its half; the hang-up below crosses that close.
+        let mut received_text = String::new();
+        in_time("the end of the stream", caller.read_to_string(&mut received_text)).await.expect("read");
+        assert!(received_text.contains("ready"), "{received_text}");
         let close = json!({"msg": "close", "sid": name(1), "attrs": {}, "code": 16});
         caller.write_all(format!("{close}\n").as_bytes()).await.expect("written");
-        assert_eq!(wire.hears("BYE").await, name(1));
+        assert_eq!(connection.expect_request("BYE").await, name(1));
         controller.stop().await;
     });
 }
 
-/// Why the controller ends a caller's connection in order.
+/// Why the controller closes a client connection gracefully.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum OurClose {
-    /// Nothing was said on it in time.
-    Unspoken,
-    /// Its calls are over and nothing was said on it for a while.
+enum CloseReason {
+    /// No message arrived within the time allowed after connecting.
+    NothingReceived,
+    /// Its calls are over and it has been idle for a while.
     Idle,
     Sigterm,
 }
 
-/// The controller closes a connection, and a set-up comes on it that was on its way: it is thrown away whole, so that the
-/// caller can make it again by the same name elsewhere, as the protocol has it, and it is carried out once.
+/// A set-up arrives on a connection that the controller has just closed: it is discarded completely, so that the caller can
+/// repeat it under the same name on another connection, as the protocol allows, and it runs only once.
 #[rstest]
-fn a_set_up_that_crosses_our_close(
-    #[values(OurClose::Unspoken, OurClose::Idle, OurClose::Sigterm)] closes: OurClose,
+fn a_set_up_that_crosses_the_close_by_the_controller_is_discarded(
+    #[values(CloseReason::NothingReceived, CloseReason::Idle, CloseReason::Sigterm)] closes: CloseReason,
 ) {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let mut crossed = TcpStream::connect(controller.at).await.expect("it listens");
         let line = |n| {
             let attrs = json!({"class": "judge-call", "left": "9000", "key": "7f"});
             format!("{}\n", json!({"msg": "open", "sid": name(n), "attrs": attrs, "text": "x"}))
         };
-        if closes == OurClose::Idle {
+        if closes == CloseReason::Idle {
             crossed.write_all(line(1).as_bytes()).await.expect("written");
-            wire.hears("INVITE").await;
-            wire.answers(&name(1), "y").await;
-            wire.hears("ACK").await;
+            connection.expect_request("INVITE").await;
+            connection.answers(&name(1), "y").await;
+            connection.expect_request("ACK").await;
             let close = json!({"msg": "close", "sid": name(1), "attrs": {}, "code": 16});
             crossed.write_all(format!("{close}\n").as_bytes()).await.expect("written");
-            wire.hears("BYE").await;
+            connection.expect_request("BYE").await;
         }
-        controller.turns("it is there", |i| i.counters().clients == 1).await;
-        if closes == OurClose::Sigterm {
+        controller.wait_for("the client is connected", |i| i.counters().clients == 1).await;
+        if closes == CloseReason::Sigterm {
             controller.ask_to_stop();
         }
-        // Read to the end: the controller has closed its half. What is written now crosses that.
-        in_time("the end", crossed.read_to_string(&mut String::new())).await.expect("read");
+        // At end of file the controller has closed its half; the set-up below crosses that close.
+        in_time("the end of the stream", crossed.read_to_string(&mut String::new())).await.expect("read");
         crossed.write_all(line(2).as_bytes()).await.expect("written");
         let before = controller.instance.counters();
         let mut taken = 0;
-        if closes != OurClose::Sigterm {
-            // Made again, by the same name: served, so the first was not taken for the call.
+        if closes != CloseReason::Sigterm {
+            // The repeat under the same name is served: the discarded set-up was not registered as a call.
             let again = Caller::connect(&world, "c", controller.at).await;
             again.open(&name(2), 9_000, 0, "x").await;
-            assert_eq!(wire.hears("INVITE").await, name(2));
-            wire.answers(&name(2), "y").await;
+            assert_eq!(connection.expect_request("INVITE").await, name(2));
+            connection.answers(&name(2), "y").await;
             assert_eq!(world.answer(&name(2)).await.what, What::Ready("y".into()));
             taken = 1;
         }
@@ -230,32 +233,32 @@
     });
 }
 
-/// SIGTERM ends connections that are owed nothing, and on one of them half a set-up has come: its rest is waited for, and it
-/// is answered there.
+/// SIGTERM closes connections without pending answers. On one of them half a set-up has arrived: the controller waits for
+/// the remainder and answers on that connection.
 #[test]
-fn sigterm_and_half_a_set_up() {
+fn sigterm_answers_a_partially_received_set_up() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let mut idle = TcpStream::connect(controller.at).await.expect("it listens");
         let mut caller = TcpStream::connect(controller.at).await.expect("it listens");
         let attrs = json!({"class": "judge-call", "left": "9000", "key": "7f"});
         let open = json!({"msg": "open", "sid": name(1), "attrs": attrs, "text": "x"}).to_string();
         caller.write_all(&open.as_bytes()[..open.len() / 2]).await.expect("written");
-        controller.turns("both are there", |i| i.counters().clients == 2).await;
+        controller.wait_for("both clients are connected", |i| i.counters().clients == 2).await;
         controller.ask_to_stop();
-        // The other one that is owed nothing has been ended.
-        in_time("the end", idle.read_to_string(&mut String::new())).await.expect("read");
+        // The idle connection has been closed.
+        in_time("the end of the stream", idle.read_to_string(&mut String::new())).await.expect("read");
         caller.write_all(&open.as_bytes()[open.len() / 2..]).await.expect("written");
         caller.write_all(b"\n").await.expect("written");
-        // Taken, or refused if the process takes nothing more by now; answered in any case.
+        // Accepted, or refused if the process no longer accepts set-ups; answered in either case.
         let (mut lines, mut line) = (BufReader::new(caller), String::new());
         tokio::select! {
             read = lines.read_line(&mut line) => drop(read.expect("read")),
-            _ = wire.hears("INVITE") => {
-                wire.answers(&name(1), "y").await;
+            _ = connection.expect_request("INVITE") => {
+                connection.answers(&name(1), "y").await;
                 in_time("an answer", lines.read_line(&mut line)).await.expect("read");
             }
         }
@@ -265,136 +268,138 @@
     });
 }
 
-/// A caller gives up in the moment of SIGTERM: nothing is owed, and the process ends.
+/// A caller cancels its call just before SIGTERM: no answer is pending, and the process ends.
 #[test]
-fn sigterm_and_a_caller_who_gives_up() {
+fn sigterm_does_not_wait_for_a_cancelled_call() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         caller.close(&name(1), 16).await;
         controller.ask_to_stop();
-        assert_eq!(wire.hears("CANCEL").await, name(1));
+        assert_eq!(connection.expect_request("CANCEL").await, name(1));
         let counters = controller.stop().await;
-        assert_eq!((counters.open, counters.given_up, finals(&world, &name(1))), (0, 1, 0));
+        assert_eq!((counters.open, counters.given_up, final_messages(&world, &name(1))), (0, 1, 0));
     });
 }
 
 // ---- Connections that close ----------------------------------------------------------------------------------
 
-/// How a call server closes a connection on which it has just been sent a set-up.
+/// How a call server closes a connection on which a set-up has just been sent.
 #[derive(Debug, Clone, Copy)]
-enum Closes {
-    /// Without having read it.
+enum ServerClose {
+    /// By a reset, without having read the set-up.
     Unread,
-    /// Having read it.
+    /// After having read the set-up.
     Read,
-    /// In order, having answered.
+    /// Gracefully, after a complete answer.
     Answered,
-    /// In order, having said half an answer.
+    /// Gracefully, after part of an answer.
     HalfAnswered,
 }
 
-/// A set-up races its call server's close of an idle connection.
+/// A set-up is sent while its call server closes the connection. A complete answer counts; without one the set-up is sent
+/// again after the resend delay, because it may have run.
 #[rstest]
-fn a_set_up_and_the_close_of_its_connection(
-    #[values(Closes::Unread, Closes::Read, Closes::Answered, Closes::HalfAnswered)] closes: Closes,
+fn a_set_up_whose_connection_closes_is_answered_or_sent_again(
+    #[values(ServerClose::Unread, ServerClose::Read, ServerClose::Answered, ServerClose::HalfAnswered)]
+    closes: ServerClose,
 ) {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
-        controller.turns("a connection", |i| i.counters().connected == 1).await;
+        controller.wait_for("a connection is up", |i| i.counters().connected == 1).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         match closes {
-            Closes::Unread => {
-                controller.turns("it has left", |i| i.counters().upstream_requests == 1).await;
-                wire.reset();
+            ServerClose::Unread => {
+                controller.wait_for("the set-up is written", |i| i.counters().upstream_requests == 1).await;
+                connection.reset();
             }
-            Closes::Read => {
-                wire.hears("INVITE").await;
-                drop(wire);
+            ServerClose::Read => {
+                connection.expect_request("INVITE").await;
+                drop(connection);
             }
-            Closes::Answered => {
-                wire.hears("INVITE").await;
-                wire.answers(&name(1), "y").await;
-                drop(wire);
+            ServerClose::Answered => {
+                connection.expect_request("INVITE").await;
+                connection.answers(&name(1), "y").await;
+                drop(connection);
             }
-            Closes::HalfAnswered => {
-                wire.hears("INVITE").await;
-                wire.say(&format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INV", name(1))).await;
-                drop(wire);
+            ServerClose::HalfAnswered => {
+                connection.expect_request("INVITE").await;
+                connection.send(&format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INV", name(1))).await;
+                drop(connection);
             }
         }
         let closed = Instant::now();
-        let mut next = hand.greets().await;
-        if matches!(closes, Closes::Answered) {
+        let mut next = server.accept_ready().await;
+        if matches!(closes, ServerClose::Answered) {
             assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
             assert_eq!(controller.instance.counters().attempts, 1);
             return;
         }
-        // It may have run: it rests, and goes on the next connection.
-        assert_eq!(next.hears("INVITE").await, name(1));
-        assert!(closed.elapsed() >= REST - Duration::from_millis(20), "after {:?}", closed.elapsed());
+        // The set-up may have run: it is sent again on the next connection after the resend delay.
+        assert_eq!(next.expect_request("INVITE").await, name(1));
+        assert!(closed.elapsed() >= RESEND_DELAY - Duration::from_millis(20), "after {:?}", closed.elapsed());
         next.answers(&name(1), "z").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("z".into()));
-        assert_eq!((controller.instance.counters().attempts, finals(&world, &name(1))), (2, 1));
+        assert_eq!((controller.instance.counters().attempts, final_messages(&world, &name(1))), (2, 1));
     });
 }
 
-/// The end of a call is said on a connection that its call server closes unread in the same moment: it is said again on the
-/// next, and the call does not stay up.
+/// A release is sent on a connection that its call server resets before reading it: it is sent again on the next
+/// connection, so that the call does not stay established.
 #[test]
-fn the_end_of_a_call_and_the_close_of_its_connection() {
+fn a_release_lost_with_its_connection_is_sent_again() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
-        wire.answers(&name(1), "y").await;
-        wire.hears("ACK").await;
+        connection.expect_request("INVITE").await;
+        connection.answers(&name(1), "y").await;
+        connection.expect_request("ACK").await;
         world.answer(&name(1)).await;
         caller.close(&name(1), 16).await;
-        let mut come = [0; 4_096];
-        in_time("it has come", async {
+        let mut peeked = [0; 4_096];
+        in_time("the BYE has arrived", async {
             loop {
-                let n = wire.stream.peek(&mut come).await.expect("there");
-                if come[..n].windows(3).any(|three| three == b"BYE") {
+                let n = connection.stream.peek(&mut peeked).await.expect("there");
+                if peeked[..n].windows(3).any(|three| three == b"BYE") {
                     return;
                 }
                 tokio::task::yield_now().await;
             }
         })
         .await;
-        wire.reset();
-        let mut next = hand.greets().await;
-        assert_eq!(next.hears("BYE").await, name(1));
-        // Confirmed there, it is not said a third time.
-        next.say(&format!(
+        connection.reset();
+        let mut next = server.accept_ready().await;
+        assert_eq!(next.expect_request("BYE").await, name(1));
+        // The release is confirmed here and is not sent a third time.
+        next.send(&format!(
             "SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 2 BYE\r\nContent-Length: 0\r\n\r\n",
             name(1)
         ))
         .await;
         caller.open(&name(2), 9_000, 0, "x").await;
-        next.hears("INVITE").await;
+        next.expect_request("INVITE").await;
         next.reset();
-        let mut last = hand.greets().await;
+        let mut last = server.accept_ready().await;
         assert_eq!(last.next().await, Some(("INVITE".to_owned(), name(2))), "and no BYE before it");
     });
 }
 
-struct Hears(Rc<RefCell<Vec<u8>>>);
+struct RecordingReader(Rc<RefCell<Vec<u8>>>);
 
-impl Reader for Hears {
+impl Reader for RecordingReader {
     fn read(&mut self, bytes: &[u8]) -> Result<usize, Unreadable> {
         self.0.borrow_mut().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -407,62 +412,62 @@
     }
 }
 
-/// The other side answers and dies in the moment when something is to be written to it: the answer is heard.
+/// A peer answers and resets the connection just before data is written to it: the answer is read all the same.
 #[test]
-fn an_answer_and_a_write_to_a_connection_that_breaks() {
+fn an_answer_is_read_before_a_write_to_a_reset_connection_fails() {
     on_one_thread(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let here = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
-        let (mut there, _) = listener.accept().await.expect("accepted");
-        there.write_all(b"an answer").await.expect("written");
-        here.readable().await.expect("it has come");
-        there.set_zero_linger().expect("set");
-        drop(there);
-        // The reset has come too, and the first thing that is done with the connection is a write.
-        let (line, queue, heard) =
-            (Line::new(here), WriteQueue::default(), Rc::new(RefCell::new(Vec::new())));
+        let stream = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("connected");
+        let (mut peer, _) = listener.accept().await.expect("accepted");
+        peer.write_all(b"an answer").await.expect("written");
+        stream.readable().await.expect("the answer has arrived");
+        peer.set_zero_linger().expect("set");
+        drop(peer);
+        // The reset has arrived as well, and the first operation on the connection is a write.
+        let (line, queue, received_bytes) =
+            (Line::new(stream), WriteQueue::default(), Rc::new(RefCell::new(Vec::new())));
         in_time("writable", line.stream().writable()).await.expect("writable");
         assert!(queue.push("x".into(), None));
-        let mut reader = Hears(heard.clone());
-        let end = in_time("the end", serve(&line, &queue, &Pool::new(64), &mut reader)).await;
-        assert_eq!(heard.borrow().as_slice(), b"an answer", "ended: {end}");
+        let mut reader = RecordingReader(received_bytes.clone());
+        let end = in_time("the end of the stream", serve(&line, &queue, &Pool::new(64), &mut reader)).await;
+        assert_eq!(received_bytes.borrow().as_slice(), b"an answer", "ended: {end}");
     });
 }
 
 // ---- Lists ---------------------------------------------------------------------------------------------------
 
-/// A bulletin that says only what a test tells it to.
-struct Board {
+/// A bulletin server that sends only what a test makes it send.
+struct ScriptedBulletin {
     listener: TcpListener,
 }
 
-/// One poll of it.
-struct Poll {
+/// One polling connection to the bulletin server.
+struct BulletinPoll {
     stream: BufReader<TcpStream>,
     after: u64,
 }
 
-impl Board {
-    async fn start() -> Board {
-        Board { listener: TcpListener::bind("127.0.0.1:0").await.expect("a port") }
+impl ScriptedBulletin {
+    async fn start() -> ScriptedBulletin {
+        ScriptedBulletin { listener: TcpListener::bind("127.0.0.1:0").await.expect("a port") }
     }
     fn at(&self) -> std::net::SocketAddr {
         self.listener.local_addr().expect("an address")
     }
-    async fn poll(&self) -> Poll {
+    async fn poll(&self) -> BulletinPoll {
         let (stream, _) = in_time("a poll", self.listener.accept()).await.expect("accepted");
-        let mut poll = Poll { stream: BufReader::new(stream), after: 0 };
-        poll.again().await;
+        let mut poll = BulletinPoll { stream: BufReader::new(stream), after: 0 };
+        poll.read_request().await;
         poll
     }
 }
 
-impl Poll {
-    /// The next question on the connection.
-    async fn again(&mut self) {
+impl BulletinPoll {
+    /// Reads the next request on the connection and stores its `after`.
+    async fn read_request(&mut self) {
         loop {
             let mut line = String::new();
-            let read = in_time("a question", self.stream.read_line(&mut line)).await.expect("read");
+            let read = in_time("a request", self.stream.read_line(&mut line)).await.expect("read");
             assert!(read > 0, "the poll ended");
             if let Some(after) = line.split(['=', '&']).nth(1).filter(|_| line.starts_with("GET")) {
                 self.after = after.parse().expect("a number");
@@ -472,15 +477,15 @@
             }
         }
     }
-    async fn says(&mut self, bytes: &[u8]) {
+    async fn send(&mut self, bytes: &[u8]) {
         self.stream.get_mut().write_all(bytes).await.expect("written");
     }
-    async fn tells(&mut self, page: &Value) {
-        self.says(&answer(page)).await;
+    async fn send_page(&mut self, page: &Value) {
+        self.send(&http_response(page)).await;
     }
 }
 
-fn answer(page: &Value) -> Vec<u8> {
+fn http_response(page: &Value) -> Vec<u8> {
     let body = page.to_string();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
@@ -490,229 +495,242 @@
 }
 
 async fn listed(controller: &Controller, which: &str, state: ServerState) {
-    let is_so = |i: &lockpoint::instance::Instance| {
+    let in_state = |i: &lockpoint::instance::Instance| {
         i.servers().iter().any(|line| line.host == which && line.state == state)
     };
-    controller.turns(&format!("{which} is {state:?}"), is_so).await;
+    controller.wait_for(&format!("{which} is {state:?}"), in_state).await;
 }
 
-/// A list watch stays open and silent for good: it is given up, the bulletin is asked anew, and a drain that was told
-/// meanwhile is heard. What was known stays.
+/// A bulletin poll stays open and is never answered: it times out, the bulletin is polled again, and a drain published in
+/// the meantime takes effect. The known list is kept.
 #[test]
-fn a_list_watch_that_is_silent_for_good() {
+fn a_silent_bulletin_poll_times_out_and_is_repeated() {
     on_one_thread(async {
-        let (board, hand) = (Board::start().await, Hand::start("s0").await);
-        let controller = Controller::start(config(board.at())).await;
-        let mut first = board.poll().await;
-        first.tells(&json!({"no": 1, "items": [event(1, &[hand.host(0, "ready")])]})).await;
+        let (bulletin, server) = (ScriptedBulletin::start().await, ScriptedServer::start("s0").await);
+        let controller = Controller::start(config(bulletin.at())).await;
+        let mut first = bulletin.poll().await;
+        first.send_page(&json!({"no": 1, "items": [event(1, &[server.host(0, "ready")])]})).await;
         listed(&controller, "s0", ServerState::Ready).await;
-        first.again().await;
+        first.read_request().await;
         assert_eq!(first.after, 1);
-        // It never answers this one, nor the next, and both stay open.
-        let second = board.poll().await;
+        // The bulletin answers neither this poll nor the next, and both connections stay open.
+        let second = bulletin.poll().await;
         let asked = Instant::now();
-        let mut third = board.poll().await;
-        assert!(asked.elapsed() < Duration::from_secs(4), "given up after {:?}", asked.elapsed());
+        let mut third = bulletin.poll().await;
+        assert!(asked.elapsed() < Duration::from_secs(4), "timed out after {:?}", asked.elapsed());
         listed(&controller, "s0", ServerState::Ready).await;
         assert_eq!((second.after, third.after), (1, 1));
-        third.tells(&json!({"no": 2, "items": [event(2, &[hand.host(0, "draining")])]})).await;
+        third.send_page(&json!({"no": 2, "items": [event(2, &[server.host(0, "draining")])]})).await;
         listed(&controller, "s0", ServerState::Draining).await;
         drop((first, second));
     });
 }
 
-/// A list watch ends, half an answer read, because the configuration is read anew: the next one is asked for all of it.
+/// A reload moves the watch to another bulletin while half an answer has been read: the new poll requests the whole answer.
 #[test]
-fn a_list_watch_that_ends_during_a_reread() {
+fn a_bulletin_answer_cut_short_by_a_reload_is_requested_again() {
     on_one_thread(async {
-        let (old, new, hand) = (Board::start().await, Board::start().await, Hand::start("s0").await);
+        let (old, new, server) = (
+            ScriptedBulletin::start().await,
+            ScriptedBulletin::start().await,
+            ScriptedServer::start("s0").await,
+        );
         let controller = Controller::start(config(old.at())).await;
         let mut poll = old.poll().await;
-        poll.tells(&json!({"no": 1, "items": [event(1, &[hand.host(0, "ready")])]})).await;
+        poll.send_page(&json!({"no": 1, "items": [event(1, &[server.host(0, "ready")])]})).await;
         listed(&controller, "s0", ServerState::Ready).await;
-        poll.again().await;
-        let drain = json!({"no": 2, "items": [event(2, &[hand.host(0, "draining")])]});
-        let bytes = answer(&drain);
-        poll.says(&bytes[..bytes.len() - 10]).await;
+        poll.read_request().await;
+        let drain = json!({"no": 2, "items": [event(2, &[server.host(0, "draining")])]});
+        let bytes = http_response(&drain);
+        poll.send(&bytes[..bytes.len() - 10]).await;
         assert!(controller.instance.reload(config(new.at())).is_empty());
-        // The rest comes too late: nobody reads it any more.
-        poll.says(&bytes[bytes.len() - 10..]).await;
+        // The remainder is sent after the controller has stopped reading this connection.
+        poll.send(&bytes[bytes.len() - 10..]).await;
         let mut next = new.poll().await;
-        assert_eq!(next.after, 1, "what was half told was not taken");
-        next.tells(&drain).await;
+        assert_eq!(next.after, 1, "the incomplete answer was not applied");
+        next.send_page(&drain).await;
         listed(&controller, "s0", ServerState::Draining).await;
-        // The same bulletin in a file that is read anew: its watch goes on.
-        next.again().await;
+        // A reload that names the same bulletin leaves its poll running.
+        next.read_request().await;
         assert!(controller.instance.reload(config(new.at())).is_empty());
-        next.tells(&json!({"no": 3, "items": [event(3, &[hand.host(0, "ready")])]})).await;
+        next.send_page(&json!({"no": 3, "items": [event(3, &[server.host(0, "ready")])]})).await;
         listed(&controller, "s0", ServerState::Ready).await;
     });
 }
 
-/// A page that says that its last event is one far ahead: the events to come are heard all the same.
+/// An answer gives a last event number that is far too high: later events are received all the same.
 #[rstest]
 #[case::with_an_event(true)]
 #[case::with_none(false)]
-fn a_list_whose_number_is_spoilt(#[case] with: bool) {
+fn a_wrong_last_event_number_does_not_skip_events(#[case] with: bool) {
     on_one_thread(async {
-        let (board, hand) = (Board::start().await, Hand::start("s0").await);
-        let controller = Controller::start(config(board.at())).await;
-        let mut poll = board.poll().await;
-        let items = [event(1, &[hand.host(0, "ready")])];
+        let (bulletin, server) = (ScriptedBulletin::start().await, ScriptedServer::start("s0").await);
+        let controller = Controller::start(config(bulletin.at())).await;
+        let mut poll = bulletin.poll().await;
+        let items = [event(1, &[server.host(0, "ready")])];
         if !with {
-            poll.tells(&json!({"no": 1, "items": items})).await;
+            poll.send_page(&json!({"no": 1, "items": items})).await;
             listed(&controller, "s0", ServerState::Ready).await;
-            poll.again().await;
+            poll.read_request().await;
         }
-        poll.tells(&json!({"no": 4_000_000, "items": if with { &items[..] } else { &[] }})).await;
+        poll.send_page(&json!({"no": 4_000_000, "items": if with { &items[..] } else { &[] }})).await;
         listed(&controller, "s0", ServerState::Ready).await;
         let mut poll = if with {
-            poll.again().await;
+            poll.read_request().await;
             poll
         } else {
-            board.poll().await
+            bulletin.poll().await
         };
         assert_eq!(poll.after, 1);
-        poll.tells(&json!({"no": 2, "items": [event(2, &[hand.host(0, "draining")])]})).await;
+        poll.send_page(&json!({"no": 2, "items": [event(2, &[server.host(0, "draining")])]})).await;
         listed(&controller, "s0", ServerState::Draining).await;
     });
 }
 
-/// An event that is spoilt on its way, with a drain in it: it is asked for again, in order, and those after it wait. One
-/// that is spoilt for good is passed over.
+/// An event with a drain arrives malformed: it is requested again, and the events after it are not applied before it. An
+/// event that stays malformed is skipped.
 #[test]
-fn a_list_with_an_event_that_is_spoilt() {
+fn a_malformed_event_is_requested_again_and_then_skipped() {
     on_one_thread(async {
-        let (board, a, b) = (Board::start().await, Hand::start("a").await, Hand::start("b").await);
-        let controller = Controller::start(config(board.at())).await;
-        let mut poll = board.poll().await;
+        let (bulletin, a, b) = (
+            ScriptedBulletin::start().await,
+            ScriptedServer::start("a").await,
+            ScriptedServer::start("b").await,
+        );
+        let controller = Controller::start(config(bulletin.at())).await;
+        let mut poll = bulletin.poll().await;
         let ready = event(1, &[a.host(0, "ready"), b.host(1, "ready")]);
-        poll.tells(&json!({"no": 1, "items": [ready]})).await;
+        poll.send_page(&json!({"no": 1, "items": [ready]})).await;
         listed(&controller, "b", ServerState::Ready).await;
-        poll.again().await;
+        poll.read_request().await;
         let spoilt = event(2, &[a.host(0, "dra\u{fffd}ning")]);
         let gone = event(3, &[b.host(1, "gone")]);
-        poll.tells(&json!({"no": 3, "items": [spoilt, gone]})).await;
-        let mut poll = board.poll().await;
-        assert_eq!(poll.after, 1, "the spoilt one is asked for again");
+        poll.send_page(&json!({"no": 3, "items": [spoilt, gone]})).await;
+        let mut poll = bulletin.poll().await;
+        assert_eq!(poll.after, 1, "the malformed event is requested again");
         listed(&controller, "b", ServerState::Ready).await;
-        poll.tells(&json!({"no": 3, "items": [event(2, &[a.host(0, "draining")]), gone]})).await;
+        poll.send_page(&json!({"no": 3, "items": [event(2, &[a.host(0, "draining")]), gone]})).await;
         listed(&controller, "a", ServerState::Draining).await;
         listed(&controller, "b", ServerState::Gone).await;
-        // One that stays spoilt.
-        poll.again().await;
-        poll.tells(&json!({"no": 4, "items": [{"no": "four"}]})).await;
+        // An event that is malformed each time it is sent.
+        poll.read_request().await;
+        poll.send_page(&json!({"no": 4, "items": [{"no": "four"}]})).await;
         for _ in 0..2 {
-            let mut poll = board.poll().await;
+            let mut poll = bulletin.poll().await;
             assert_eq!(poll.after, 3);
-            poll.tells(&json!({"no": 5, "items": [{"no": "four"}, event(5, &[a.host(0, "gone")])]})).await;
+            poll.send_page(&json!({"no": 5, "items": [{"no": "four"}, event(5, &[a.host(0, "gone")])]}))
+                .await;
         }
         listed(&controller, "a", ServerState::Gone).await;
         assert_eq!(controller.instance.counters().malformed_bulletin, 1);
     });
 }
 
-/// A bulletin that answers at once although there is no news: it is not asked without a rest.
+/// A bulletin answers at once although it has no events, instead of holding the poll: the controller pauses between polls.
 #[test]
-fn a_list_that_does_not_wait_for_news() {
+fn a_bulletin_that_answers_without_events_is_not_polled_in_a_tight_loop() {
     on_one_thread(async {
-        let (board, hand) = (Board::start().await, Hand::start("s0").await);
-        let controller = Controller::start(config(board.at())).await;
-        let mut poll = board.poll().await;
-        poll.tells(&json!({"no": 1, "items": [event(1, &[hand.host(0, "ready")])]})).await;
-        poll.again().await;
+        let (bulletin, server) = (ScriptedBulletin::start().await, ScriptedServer::start("s0").await);
+        let controller = Controller::start(config(bulletin.at())).await;
+        let mut poll = bulletin.poll().await;
+        poll.send_page(&json!({"no": 1, "items": [event(1, &[server.host(0, "ready")])]})).await;
+        poll.read_request().await;
         let began = Instant::now();
         const POLLS: u32 = 20;
         for _ in 0..POLLS {
-            poll.tells(&json!({"no": 1, "items": []})).await;
-            poll.again().await;
+            poll.send_page(&json!({"no": 1, "items": []})).await;
+            poll.read_request().await;
         }
         let each = began.elapsed() / POLLS;
-        assert!(each >= Duration::from_millis(20), "asked again after {each:?}");
+        assert!(each >= Duration::from_millis(20), "polled again after {each:?}");
         assert!(controller.instance.ready());
     });
 }
 
-/// A bulletin that closes after each answer, without news: what it tells between two polls is heard soon, however often it
-/// had none.
+/// A bulletin closes the connection after each answer without events: the delay before the next poll does not grow, so that
+/// an event published between two polls is received soon.
 #[test]
-fn a_list_whose_bulletin_closes_after_each_answer() {
+fn a_bulletin_that_closes_after_each_answer_is_polled_without_growing_delays() {
     on_one_thread(async {
-        let (board, hand) = (Board::start().await, Hand::start("s0").await);
-        let controller = Controller::start(config(board.at())).await;
-        let mut poll = board.poll().await;
-        poll.tells(&json!({"no": 1, "items": [event(1, &[hand.host(0, "ready")])]})).await;
+        let (bulletin, server) = (ScriptedBulletin::start().await, ScriptedServer::start("s0").await);
+        let controller = Controller::start(config(bulletin.at())).await;
+        let mut poll = bulletin.poll().await;
+        poll.send_page(&json!({"no": 1, "items": [event(1, &[server.host(0, "ready")])]})).await;
         drop(poll);
         let (began, polls) = (Instant::now(), 12);
         for _ in 0..polls {
-            board.poll().await.tells(&json!({"no": 1, "items": []})).await;
+            bulletin.poll().await.send_page(&json!({"no": 1, "items": []})).await;
         }
-        // Growing waits, up to 250 ms each, would make it over two seconds.
+        // With delays that grow up to 250 ms each, this would take more than two seconds.
         assert!(began.elapsed() < Duration::from_millis(1_500), "{polls} polls in {:?}", began.elapsed());
         assert!(controller.instance.ready());
     });
 }
 
-/// A watch of DNS-SD records ends because the configuration is read anew, and a call server leaves before the next one has
-/// begun: it is gone from the list. So are all where the file names no records any more.
+/// A reload ends a watch of DNS-SD records, and a call server's records are removed before the next watch starts: the call
+/// server leaves the list. If the new configuration has no DNS-SD watch, all its call servers leave the list.
 #[rstest]
-fn a_watch_of_records_that_ends_during_a_reread(#[values(true, false)] watches_on: bool) {
+fn a_call_server_that_leaves_dns_sd_during_a_reload_is_removed(#[values(true, false)] watches_on: bool) {
     on_one_thread(async {
-        let (board, resolver, any) = (Board::start().await, Resolver::start().await, any());
-        let name_it = |n: &str| {
+        let (bulletin, resolver, any) =
+            (ScriptedBulletin::start().await, Resolver::start().await, any_address());
+        let register = |n: &str| {
             let at = "127.0.0.1:9".parse().expect("an address");
             resolver.name_server(n, at, 30, &["cell=0".into(), "zone=east".into()]);
         };
-        name_it("i0");
+        register("i0");
         let with = |dns: bool| {
-            let mut config = config(board.at());
+            let mut config = config(bulletin.at());
             config.iax2 = Some(Iax2Config::at(any, any));
             config.dns_sd = dns.then(|| DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
             config
         };
         let controller = Controller::start(with(true)).await;
-        let which = |i: &lockpoint::instance::Instance, state| i.servers().iter().any(|l| l.state == state);
-        controller.turns("it is listed", |i| which(i, ServerState::Ready)).await;
-        // Its records live for half a minute: this watch looks no sooner.
+        let any_in_state =
+            |i: &lockpoint::instance::Instance, state| i.servers().iter().any(|l| l.state == state);
+        controller.wait_for("the call server is listed", |i| any_in_state(i, ServerState::Ready)).await;
+        // The records have a TTL of 30 s: the running watch does not query again before that.
         resolver.forget_server("i0");
         let mut next = with(watches_on);
-        next.bulletin = Some(Board::start().await.at());
+        next.bulletin = Some(ScriptedBulletin::start().await.at());
         controller.instance.reload(next);
-        controller.turns("it is gone", |i| !which(i, ServerState::Ready)).await;
+        controller.wait_for("the call server is gone", |i| !any_in_state(i, ServerState::Ready)).await;
     });
 }
 
-fn any() -> std::net::SocketAddr {
+fn any_address() -> std::net::SocketAddr {
     std::net::SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 // ---- Drains --------------------------------------------------------------------------------------------------
 
-/// A drain is told between the choice of a call server and the send: the set-up goes elsewhere at once.
+/// A call server starts to drain after it was chosen and before the set-up could be sent: the set-up goes to another call
+/// server at once.
 #[test]
-fn a_drain_between_the_choice_and_the_send() {
+fn a_drain_before_the_send_moves_the_set_up_to_another_call_server() {
     on_one_thread(async {
         let world = World::default();
-        let (chosen, fill) = Hand::full("s0").await;
-        let other = Hand::start("s1").await;
-        let long = |config: &mut lockpoint::config::InstanceConfig| {
+        let (chosen, fill) = ScriptedServer::with_full_backlog("s0").await;
+        let other = ScriptedServer::start("s1").await;
+        let long_timeout = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = Span::from_millis(60_000);
         };
-        let (controller, bulletin) = Controller::with_hands(&world, &[&chosen, &other], long).await;
-        let mut wire = other.greets().await;
+        let (controller, bulletin) =
+            Controller::with_scripted_servers(&world, &[&chosen, &other], long_timeout).await;
+        let mut connection = other.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        controller.turns("it is sent", |i| i.counters().attempts == 1).await;
+        controller.wait_for("the attempt has started", |i| i.counters().attempts == 1).await;
         bulletin.tell(false, vec![chosen.host(0, "draining")]);
-        assert_eq!(wire.hears("INVITE").await, name(1));
-        wire.answers(&name(1), "y").await;
+        assert_eq!(connection.expect_request("INVITE").await, name(1));
+        connection.answers(&name(1), "y").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
-        // Its connection comes up afterwards: no set-up is on it.
+        // The connections to the draining call server come up afterwards and carry no set-up.
         let waiting = fill.len();
         drop(fill);
         for _ in 0..=waiting {
-            let mut wire = chosen.greets().await;
-            let said = tokio::time::timeout(Duration::from_millis(300), wire.next()).await;
+            let mut connection = chosen.accept_ready().await;
+            let said = tokio::time::timeout(Duration::from_millis(300), connection.next()).await;
             assert!(!matches!(&said, Ok(Some((method, _))) if method == "INVITE"), "{said:?}");
         }
     });
@@ -720,187 +738,201 @@
 
 // ---- Late answers --------------------------------------------------------------------------------------------
 
-/// A call server that was given up answers after the call was sent elsewhere, ahead of the other or behind it: the caller
-/// gets one answer, and the late one is released where it stands.
+/// A call server answers after its attempt timed out and the call was sent to another one, before or after that one
+/// answers: the caller gets one answer, and the late call is released at its call server.
 #[rstest]
-fn a_late_answer_after_the_call_was_sent_elsewhere(#[values(true, false)] ahead: bool) {
+fn a_late_answer_from_an_abandoned_call_server_is_released(#[values(true, false)] ahead: bool) {
     on_one_thread(async {
         let world = World::default();
-        let (silent, other) = (Hand::start("s0").await, Hand::start("s1").await);
-        let (controller, _b) = Controller::with_hands(&world, &[&silent, &other], |_| {}).await;
-        let (mut first, mut second) = (silent.greets().await, other.greets().await);
+        let (silent, other) = (ScriptedServer::start("s0").await, ScriptedServer::start("s1").await);
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&silent, &other], |_| {}).await;
+        let (mut first, mut second) = (silent.accept_ready().await, other.accept_ready().await);
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        first.hears("INVITE").await;
-        first.hears("CANCEL").await;
+        first.expect_request("INVITE").await;
+        first.expect_request("CANCEL").await;
         let given_up = Instant::now();
-        second.hears("INVITE").await;
-        assert!(given_up.elapsed() >= REST - Duration::from_millis(20), "after {:?}", given_up.elapsed());
+        second.expect_request("INVITE").await;
+        assert!(
+            given_up.elapsed() >= RESEND_DELAY - Duration::from_millis(20),
+            "after {:?}",
+            given_up.elapsed()
+        );
         if !ahead {
             second.answers(&name(1), "y").await;
             world.answer(&name(1)).await;
         }
         first.answers(&name(1), "late").await;
-        assert_eq!(first.hears("BYE").await, name(1));
+        assert_eq!(first.expect_request("BYE").await, name(1));
         if ahead {
             second.answers(&name(1), "y").await;
         }
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
         let counters = controller.instance.counters();
-        assert_eq!((counters.late_answers, counters.standing, finals(&world, &name(1))), (1, 1, 1));
+        assert_eq!((counters.late_answers, counters.standing, final_messages(&world, &name(1))), (1, 1, 1));
     });
 }
 
-/// The end of a call overtakes its answer, which is held up on its way: the call stood and is over. Its caller hears so
-/// at once, nobody else is asked, and the late answer is released where it comes from.
+/// A release overtakes the delayed answer of its call: the call was established and is over. The caller is told at once, no
+/// other call server is tried, and the late answer is released at its call server.
 #[test]
-fn the_end_of_a_call_ahead_of_its_answer() {
+fn a_release_that_overtakes_the_answer_ends_the_call() {
     on_one_thread(async {
         let world = World::default();
-        let (held_up, other) = (Hand::start("s0").await, Hand::start("s1").await);
-        let (controller, _b) = Controller::with_hands(&world, &[&held_up, &other], |_| {}).await;
-        let (mut wire, _idle) = (held_up.greets().await, other.greets().await);
+        let (held_up, other) = (ScriptedServer::start("s0").await, ScriptedServer::start("s1").await);
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&held_up, &other], |_| {}).await;
+        let (mut connection, _idle) = (held_up.accept_ready().await, other.accept_ready().await);
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
-        wire.releases(&name(1), 16).await;
+        connection.expect_request("INVITE").await;
+        connection.releases(&name(1), 16).await;
         assert!(matches!(world.answer(&name(1)).await.what, What::Close(31, _)));
-        wire.answers(&name(1), "late").await;
-        assert_eq!(wire.hears("BYE").await, name(1));
-        tokio::time::sleep(REST * 2).await;
+        connection.answers(&name(1), "late").await;
+        assert_eq!(connection.expect_request("BYE").await, name(1));
+        tokio::time::sleep(RESEND_DELAY * 2).await;
         let counters = controller.instance.counters();
-        assert_eq!((counters.attempts, counters.standing, finals(&world, &name(1))), (1, 0, 1));
+        assert_eq!((counters.attempts, counters.standing, final_messages(&world, &name(1))), (1, 0, 1));
     });
 }
 
-/// A second answer, some milliseconds after the first, and an answer after the call was over by time-out: one final answer
-/// each, and what stands unasked is released.
+/// A call server answers a set-up twice, and answers another one after the call timed out: each caller gets one final
+/// answer, and the call that nobody waits for is released.
 #[test]
-fn a_late_second_answer_and_one_after_a_time_out() {
+fn a_second_answer_is_ignored_and_one_after_the_time_out_is_released() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
-        wire.answers(&name(1), "y").await;
+        connection.expect_request("INVITE").await;
+        connection.answers(&name(1), "y").await;
         world.answer(&name(1)).await;
-        wire.answers(&name(1), "z").await;
+        connection.answers(&name(1), "z").await;
         caller.open(&name(2), 300, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         assert!(matches!(world.answer(&name(2)).await.what, What::Close(31, _)));
-        wire.hears("CANCEL").await;
-        wire.answers(&name(2), "late").await;
-        assert_eq!(wire.hears("BYE").await, name(2), "and none for the second copy before it");
+        connection.expect_request("CANCEL").await;
+        connection.answers(&name(2), "late").await;
+        assert_eq!(
+            connection.expect_request("BYE").await,
+            name(2),
+            "no BYE for the duplicate answer before it"
+        );
         let counters = controller.instance.counters();
         assert_eq!((counters.standing, counters.late_answers), (1, 1));
-        assert_eq!((finals(&world, &name(1)), finals(&world, &name(2))), (1, 1));
+        assert_eq!((final_messages(&world, &name(1)), final_messages(&world, &name(2))), (1, 1));
     });
 }
 
 // ---- A client's cancel ---------------------------------------------------------------------------------------
 
-/// A cancel crosses the answer: whichever is heard first, the call does not stay up.
+/// A cancel crosses the answer: whichever arrives first, the call does not stay established.
 #[rstest]
 #[case::the_cancel_first(true)]
 #[case::the_answer_first(false)]
-fn a_cancel_and_an_answer(#[case] cancel_first: bool) {
+fn a_cancel_that_crosses_the_answer_ends_the_call(#[case] cancel_first: bool) {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         if cancel_first {
             caller.close(&name(1), 16).await;
-            wire.hears("CANCEL").await;
-            wire.answers(&name(1), "y").await;
+            connection.expect_request("CANCEL").await;
+            connection.answers(&name(1), "y").await;
         } else {
-            wire.answers(&name(1), "y").await;
-            controller.turns("it is answered", |i| i.counters().completed == 1).await;
+            connection.answers(&name(1), "y").await;
+            controller.wait_for("the call is answered", |i| i.counters().completed == 1).await;
             caller.close(&name(1), 16).await;
-            world.until("the end is heard", is(&name(1), What::Closed)).await;
+            world.until("the release is confirmed", received(&name(1), What::Closed)).await;
         }
-        assert_eq!(wire.hears("BYE").await, name(1));
+        assert_eq!(connection.expect_request("BYE").await, name(1));
         let counters = controller.instance.counters();
         assert_eq!((counters.open, counters.standing), (0, 0));
-        assert_eq!(finals(&world, &name(1)), usize::from(!cancel_first), "no answer after the cancel");
+        assert_eq!(
+            final_messages(&world, &name(1)),
+            usize::from(!cancel_first),
+            "no answer after the cancel"
+        );
     });
 }
 
-/// Both are there in one moment: the call is over, and its caller hears at most one answer.
+/// The cancel and the answer may arrive in the same event loop iteration: the call ends, and its caller gets at most one
+/// answer.
 #[test]
-fn a_cancel_and_an_answer_at_once() {
+fn a_cancel_sent_together_with_the_answer_ends_the_call() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         for n in 1..=20 {
             caller.open(&name(n), 9_000, 0, "x").await;
-            wire.hears("INVITE").await;
-            wire.answers(&name(n), "y").await;
+            connection.expect_request("INVITE").await;
+            connection.answers(&name(n), "y").await;
             caller.close(&name(n), 16).await;
-            assert_eq!(wire.hears("BYE").await, name(n));
-            controller.turns("it is over", |i| i.counters().open + i.counters().standing == 0).await;
-            assert!(finals(&world, &name(n)) <= 1);
+            assert_eq!(connection.expect_request("BYE").await, name(n));
+            controller.wait_for("the call is over", |i| i.counters().open + i.counters().standing == 0).await;
+            assert!(final_messages(&world, &name(n)) <= 1);
         }
     });
 }
 
 // ---- Reloads -------------------------------------------------------------------------------------------------
 
-/// A reload while a call waits: its rest is the one that it began under, its attempts those of the new settings, and it
-/// gets its one answer.
+/// A reload during a call's resend delay: the call keeps the delay it started with, obeys the new limit of attempts, and gets
+/// its one answer.
 #[rstest]
-#[case::a_shorter_rest(|c: &mut lockpoint::config::InstanceConfig| c.core.settings.resend_delay = Span::from_millis(10), true)]
+#[case::a_shorter_resend_delay(|c: &mut lockpoint::config::InstanceConfig| c.core.settings.resend_delay = Span::from_millis(10), true)]
 #[case::no_more_attempts(|c: &mut lockpoint::config::InstanceConfig| c.core.settings.max_attempts = 1, false)]
-fn a_reload_while_a_call_waits(
+fn a_reload_during_the_resend_delay_keeps_the_delay_and_applies_max_attempts(
     #[case] change: fn(&mut lockpoint::config::InstanceConfig),
-    #[case] goes_again: bool,
+    #[case] sends_again: bool,
 ) {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, bulletin) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         let reset = Instant::now();
-        wire.replies(&name(1), 504, "").await;
-        wire.hears("ACK").await;
+        connection.replies(&name(1), 504, "").await;
+        connection.expect_request("ACK").await;
         let mut next = config(bulletin.at);
         change(&mut next);
         assert!(controller.instance.reload(next).is_empty());
-        if goes_again {
-            wire.hears("INVITE").await;
-            assert!(reset.elapsed() >= REST, "after {:?}", reset.elapsed());
-            wire.answers(&name(1), "y").await;
+        if sends_again {
+            connection.expect_request("INVITE").await;
+            assert!(reset.elapsed() >= RESEND_DELAY, "after {:?}", reset.elapsed());
+            connection.answers(&name(1), "y").await;
         }
         let answer = world.answer(&name(1)).await.what;
-        assert_eq!(matches!(answer, What::Ready(_)), goes_again, "{answer:?}");
+        assert_eq!(matches!(answer, What::Ready(_)), sends_again, "{answer:?}");
         let counters = controller.instance.counters();
-        assert_eq!((counters.open, counters.attempts), (0, 1 + u64::from(goes_again)));
+        assert_eq!((counters.open, counters.attempts), (0, 1 + u64::from(sends_again)));
     });
 }
 
-/// A reload brings the settings of another customer: they stay out as a whole, and what goes with them too.
+/// A reload brings the settings of another deployment: they are rejected as a whole, together with the values that depend
+/// on them.
 #[test]
-fn a_reload_with_the_settings_of_another() {
+fn a_reload_with_incompatible_settings_is_rejected_as_a_whole() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, bulletin) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        wire.hears("INVITE").await;
+        connection.expect_request("INVITE").await;
         let mut other = config(bulletin.at);
         other.core.classes = vec!["another".into()];
         other.zones = vec!["elsewhere".into(), "east".into()];
@@ -908,39 +940,40 @@
         assert_eq!(controller.instance.reload(other.clone()), ["settings.zones", "settings.classes"]);
         other.core.classes = vec!["judge-call".into()];
         assert_eq!(controller.instance.reload(other.clone()), ["settings.zones"]);
-        // Further zones take nobody's place.
+        // Zones appended at the end do not change the numbers of the existing ones.
         other.zones = vec!["east".into(), "elsewhere".into()];
         other.core.max_caller_wait = Span::from_millis(9_000);
         assert!(controller.instance.reload(other.clone()).is_empty());
-        // Another number among the controllers, for which the others would not know it.
+        // Another number for this controller: its peers know it by the old one.
         other.core.fleet =
             Some(lockpoint::fleet::FleetConfig { me: 1, controllers: 2, ..Default::default() });
         assert_eq!(controller.instance.reload(other), ["fleet"]);
-        // A line that names its zone comes after that: it is read by the zones that the settings in force name.
-        bulletin.tell(false, vec![hand.host(0, "ready")]);
-        let second = Hand::start("s1").await;
+        // Entries that name their zone are read with the zones of the settings in force.
+        bulletin.tell(false, vec![server.host(0, "ready")]);
+        let second = ScriptedServer::start("s1").await;
         bulletin.tell(false, vec![second.host(1, "ready")]);
         listed(&controller, "s1", ServerState::Ready).await;
         assert!(controller.instance.servers().iter().all(|line| line.zone == 0), "east is the first zone");
-        wire.answers(&name(1), "y").await;
+        connection.answers(&name(1), "y").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
     });
 }
 
-/// What a connection may take is a setting like others: a reload changes it.
+/// The connect timeout follows the settings of a reload.
 #[test]
-fn a_reload_changes_how_long_a_connection_may_take() {
+fn a_reload_changes_the_connect_timeout() {
     on_one_thread(async {
         let world = World::default();
-        let (first, (full, _fill)) = (Hand::start("s0").await, Hand::full("s1").await);
-        let long = |config: &mut lockpoint::config::InstanceConfig| {
+        let (first, (full, _fill)) =
+            (ScriptedServer::start("s0").await, ScriptedServer::with_full_backlog("s1").await);
+        let long_timeout = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = Span::from_millis(60_000);
         };
-        let (controller, bulletin) = Controller::with_hands(&world, &[&first], long).await;
+        let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&first], long_timeout).await;
         let mut next = config(bulletin.at);
         next.connect_timeout = Span::from_millis(50);
         assert!(controller.instance.reload(next).is_empty());
         bulletin.tell(false, vec![full.host(1, "ready")]);
-        controller.turns("it is not made in time", |i| i.counters().not_made > 0).await;
+        controller.wait_for("a connect attempt times out", |i| i.counters().not_made > 0).await;
     });
 }
--- a/tests/iax2.rs
+++ b/tests/iax2.rs
@@ -38,7 +38,7 @@
     let server = IaxServer::start(world, "i0", does).await;
     resolver.name_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
     let controller = controller(&bulletin, &resolver).await;
-    controller.holds_list().await;
+    controller.wait_for_list().await;
     (controller, server, resolver)
 }
 
@@ -154,7 +154,7 @@
         bulletin.tell(true, vec![host("s1", sip.at, 1, "ready")]);
         resolver.name_server("i0", iax.at, 1, &["cell=0".into()]);
         let controller = controller(&bulletin, &resolver).await;
-        controller.turns("both lists have arrived", |i| i.servers().len() == 2).await;
+        controller.wait_for("both lists have arrived", |i| i.servers().len() == 2).await;
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 9_000, 0, "x");
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
@@ -322,7 +322,7 @@
         let asked = resolver.asked.get();
         resolver.forget_server("i0");
         resolver.name_server("i0", server.at, 30, &["cell=0".into(), "state=draining".into()]);
-        controller.turns("the call server drains", |i| state(i) == "Draining").await;
+        controller.wait_for("the call server drains", |i| state(i) == "Draining").await;
         assert!(resolver.asked.get() > asked);
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 2_000, 0, "x");
@@ -337,7 +337,7 @@
         let (controller, _server, resolver) = with_server(&world, answers("y")).await;
         resolver.forget_server("i0");
         controller
-            .turns("the call server is gone", |i| format!("{:?}", i.servers()[0].state) == "Gone")
+            .wait_for("the call server is gone", |i| format!("{:?}", i.servers()[0].state) == "Gone")
             .await;
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 2_000, 0, "x");
@@ -376,7 +376,7 @@
         resolver.name_server("i0", i0.at, 1, &["cell=2".into()]);
         resolver.name_server("i1", i1.at, 1, &["cell=3".into(), format!("born_ms={born_ms}")]);
         let controller = controller(&bulletin, &resolver).await;
-        controller.turns("all four are known", |i| i.servers().len() == 4).await;
+        controller.wait_for("all four are known", |i| i.servers().len() == 4).await;
         let json_callers = [
             Caller::connect(&world, "j0", controller.at).await,
             Caller::connect(&world, "j1", controller.at).await,
--- a/tests/iax2_auth.rs
+++ b/tests/iax2_auth.rs
@@ -29,7 +29,7 @@
     config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
     config.secrets = secrets;
     let controller = Controller::start(config).await;
-    controller.holds_list().await;
+    controller.wait_for_list().await;
     (controller, server)
 }
 
--- a/tests/iax2_registration.rs
+++ b/tests/iax2_registration.rs
@@ -187,7 +187,7 @@
         let says = |what: &'static str| move |s: &support::Seen| matches!(&s.what, What::Other(said) if said.contains(what));
         server.register(at, &me, false);
         world.until("the registration is acknowledged", says("RegAck")).await;
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         let caller = IaxCaller::start(&world, "c", at).await;
         *caller.account.borrow_mut() = Some(account("box", "b"));
         // It has just started and is cold, so that the first callers may be asked to retry.
@@ -234,17 +234,17 @@
         upstream.console = None;
         let controller = Controller::start(upstream).await;
         registrar
-            .turns("the registration is refused", |instance| instance.counters().iax2_not_let_in > 0)
+            .wait_for("the registration is refused", |instance| instance.counters().iax2_not_let_in > 0)
             .await;
         assert_eq!(controller.instance.counters().iax2_registered_at, 0);
         // A reload adds the user; the next attempt, at most a second later, is granted.
         let users = Users::parse(USERS).ok();
         registrar.instance.reload(config(iax2(), Iax2Secrets { users, account: None }));
         controller
-            .turns("the controller is registered", |instance| instance.counters().iax2_registered_at == 1)
+            .wait_for("the controller is registered", |instance| instance.counters().iax2_registered_at == 1)
             .await;
         registrar
-            .turns("the registration makes it a member", |instance| {
+            .wait_for("the registration makes it a member", |instance| {
                 instance.servers().iter().any(|s| s.host == "s1")
             })
             .await;
--- a/tests/iax2_tokens.rs
+++ b/tests/iax2_tokens.rs
@@ -18,7 +18,7 @@
     config.iax2 = Some(Iax2Config { tokens, ..Iax2Config::at(any, any) });
     config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
     let controller = Controller::start(config).await;
-    controller.holds_list().await;
+    controller.wait_for_list().await;
     controller
 }
 
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -11,7 +11,9 @@
 use rstest::rstest;
 use serde_json::json;
 use support::iax2::{IaxCaller, Resolver, SERVICE};
-use support::{in_time, name, on_one_thread, Bulletin, Controller, Hand, What, Wire, World};
+use support::{
+    in_time, name, on_one_thread, Bulletin, Controller, ScriptedServer, ServerConnection, What, World,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
@@ -73,9 +75,9 @@
     world: World,
     controller: Controller,
     _bulletin: std::rc::Rc<Bulletin>,
-    hand: Hand,
+    hand: ScriptedServer,
     /// Connections on which set-ups may come.
-    wires: Vec<Wire>,
+    wires: Vec<ServerConnection>,
     /// Whoever fills the call server's queue of connections.
     fill: Vec<std::net::TcpStream>,
 }
@@ -88,8 +90,8 @@
     async fn with_config(waits: Waits, change: impl FnOnce(&mut lockpoint::config::InstanceConfig)) -> Scene {
         let world = World::default();
         let (hand, fill) = match waits {
-            Waits::ComingUp => Hand::full("s0").await,
-            _ => (Hand::start("s0").await, Vec::new()),
+            Waits::ComingUp => ScriptedServer::with_full_backlog("s0").await,
+            _ => (ScriptedServer::start("s0").await, Vec::new()),
         };
         // The connection may take longer than the test: it comes up when the test lets it.
         let long = |config: &mut lockpoint::config::InstanceConfig| {
@@ -98,7 +100,7 @@
             config.iax2 = Some(Iax2Config::at(any, any));
             change(config);
         };
-        let (controller, bulletin) = Controller::with_hands(&world, &[&hand], long).await;
+        let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&hand], long).await;
         Scene { world, controller, _bulletin: bulletin, hand, wires: Vec::new(), fill }
     }
 
@@ -108,15 +110,15 @@
             Waits::ComingUp => {}
             Waits::FirstWord => {
                 // A new connection, on which nothing is said.
-                self.hand.greets().await.reset();
+                self.hand.accept_ready().await.reset();
                 let wire = self.hand.accept().await;
                 self.wires.push(wire);
             }
             Waits::Moved => self.wires.push(self.hand.accept().await),
-            Waits::Rest => self.wires.push(self.hand.greets().await),
+            Waits::Rest => self.wires.push(self.hand.accept_ready().await),
         }
         let caller = asks(&self.controller).await;
-        self.controller.turns("the call is taken", |i| i.counters().taken == 1).await;
+        self.controller.wait_for("the call is taken", |i| i.counters().taken == 1).await;
         match waits {
             Waits::Moved => {
                 self.wires.remove(0).reset();
@@ -125,10 +127,10 @@
             }
             Waits::Rest => {
                 let wire = &mut self.wires[0];
-                assert_eq!(wire.hears("INVITE").await, name(1));
+                assert_eq!(wire.expect_request("INVITE").await, name(1));
                 wire.replies(&name(1), 504, "").await;
                 // Read by now: what the call server says next is heard after it.
-                wire.hears("ACK").await;
+                wire.expect_request("ACK").await;
             }
             _ => {}
         }
@@ -137,7 +139,7 @@
 
     /// Call 1 is over, and nothing of it was sent on later than may be; another call is served.
     async fn nothing_is_sent_on(mut self, waits: Waits, left: Instant) {
-        self.controller.turns("it is given up", |i| i.counters().open == 0).await;
+        self.controller.wait_for("it is given up", |i| i.counters().open == 0).await;
         assert!(left.elapsed() < Duration::from_secs(5), "not at once, but when its time was over");
         let counters = self.controller.instance.counters();
         assert_eq!((counters.given_up, counters.failed, counters.completed), (1, 0, 0));
@@ -149,7 +151,7 @@
         if matches!(waits, Waits::ComingUp) {
             loop {
                 // Those that filled the queue come first, and say nothing.
-                let mut wire = self.hand.greets().await;
+                let mut wire = self.hand.accept_ready().await;
                 if let Ok(Some((method, call))) =
                     tokio::time::timeout(Duration::from_millis(1_000), wire.next()).await
                 {
@@ -216,7 +218,7 @@
         let mut caller = scene.waits(Waits::Rest, async |c| asks(c.at, &name(1)).await).await;
         caller.shutdown().await.expect("its half is closed");
         let wire = &mut scene.wires[0];
-        assert_eq!(wire.hears("INVITE").await, name(1), "once more, after the rest");
+        assert_eq!(wire.expect_request("INVITE").await, name(1), "once more, after the rest");
         wire.answers(&name(1), "y").await;
         let mut heard = String::new();
         in_time("the end", caller.read_to_string(&mut heard)).await.expect("read");
@@ -226,7 +228,7 @@
         assert_eq!(others, 1, "one answer, and words that mean nothing: {heard}");
         // It has read the answer and closes: what it is called for stands.
         drop(caller);
-        scene.controller.turns("it is gone", |i| i.counters().clients == 0).await;
+        scene.controller.wait_for("it is gone", |i| i.counters().clients == 0).await;
         assert_eq!(scene.controller.instance.counters().standing, 1);
     });
 }
@@ -240,7 +242,7 @@
         let mut scene = Scene::with(Waits::Rest).await;
         let mut caller = scene.waits(Waits::Rest, async |c| asks(c.at, &name(1)).await).await;
         caller.write_all(b"[]\n").await.expect("written");
-        scene.controller.turns("it is turned away", |i| i.counters().malformed_lines == 1).await;
+        scene.controller.wait_for("it is turned away", |i| i.counters().malformed_lines == 1).await;
         let kept = leaves(caller, how).await;
         scene.nothing_is_sent_on(Waits::Rest, Instant::now()).await;
         drop(kept);
@@ -253,24 +255,24 @@
 fn a_line_of_set_ups_is_taken_back_and_what_had_left_is_given_up() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::narrow("s0").await;
-        let (controller, _bulletin) = Controller::with_hands(&world, &[&hand], |c| {
-            support::unhurried(c);
+        let hand = ScriptedServer::with_small_receive_buffer("s0").await;
+        let (controller, _bulletin) = Controller::with_scripted_servers(&world, &[&hand], |c| {
+            support::long_setup_target(c);
             c.connect_timeout = lockpoint::interface::Span::from_millis(60_000);
         })
         .await;
-        let mut wire = hand.greets().await;
+        let mut wire = hand.accept_ready().await;
         let speaks = |i: &lockpoint::instance::Instance| i.counters().connected == 1;
-        controller.turns("a connection", speaks).await;
-        let _fill = hand.fill(); // no other comes up beside it
-                                 // It reads nothing from here on. A caller asks for more at once than the connection takes.
+        controller.wait_for("a connection", speaks).await;
+        let _fill = hand.fill_backlog(); // no other comes up beside it
+                                         // It reads nothing from here on. A caller asks for more at once than the connection takes.
         const ALL: u64 = 250;
         let mut caller = TcpStream::connect(controller.at).await.expect("it listens");
         let all: String = (1..=ALL).map(|n| ask(&name(n), &"y".repeat(14_000))).collect();
         caller.write_all(all.as_bytes()).await.expect("written");
-        controller.turns("all are taken", |i| i.counters().taken == ALL).await;
+        controller.wait_for("all are taken", |i| i.counters().taken == ALL).await;
         drop(caller);
-        controller.turns("all are given up", |i| i.counters().open == 0).await;
+        controller.wait_for("all are given up", |i| i.counters().open == 0).await;
         let counters = controller.instance.counters();
         assert!(counters.withdrawn > 0, "some waited: {counters:?}");
         let (mut out, mut seen) = (std::collections::BTreeSet::new(), 0);
@@ -307,7 +309,7 @@
         config.iax2 = Some(Iax2Config::at(any, any));
         config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
         let controller = Controller::start(config).await;
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         let caller = asks(controller.at, &name(1)).await;
         let mut bytes = vec![0; 4_096];
         let mut kind = async || {
@@ -353,19 +355,19 @@
     let mut clients = Vec::new();
     match waits {
         Waits::FirstWord => {
-            scene.hand.greets().await.reset();
+            scene.hand.accept_ready().await.reset();
             scene.wires.push(scene.hand.accept().await);
         }
-        Waits::Rest => scene.wires.push(scene.hand.greets().await),
+        Waits::Rest => scene.wires.push(scene.hand.accept_ready().await),
         Waits::ComingUp | Waits::Moved => {}
     }
     for n in 1..=count {
         clients.push(asks(scene.controller.at, &name(n)).await);
     }
-    scene.controller.turns("all are taken", |i| i.counters().taken == count).await;
+    scene.controller.wait_for("all are taken", |i| i.counters().taken == count).await;
     if matches!(waits, Waits::Rest) {
         for _ in 1..=scene.controller.instance.counters().attempts {
-            let call = scene.wires[0].hears("INVITE").await;
+            let call = scene.wires[0].expect_request("INVITE").await;
             scene.wires[0].replies(&call, 504, "").await;
         }
     }
@@ -414,7 +416,7 @@
     #[case] count: u64,
 ) {
     on_one_thread(async {
-        let mut scene = Scene::with_config(waits, support::unhurried).await;
+        let mut scene = Scene::with_config(waits, support::long_setup_target).await;
         let mut clients = clients_that_wait(&mut scene, waits, count).await;
         match shows {
             Shows::NothingNew => {
@@ -427,7 +429,7 @@
                 for client in &mut clients {
                     client.write_all(b"[]\n").await.expect("written");
                 }
-                scene.controller.turns("all offend", |i| i.counters().malformed_lines == count).await;
+                scene.controller.wait_for("all offend", |i| i.counters().malformed_lines == count).await;
             }
             Shows::AtOnce | Shows::After(_) => {}
         }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -24,7 +24,7 @@
     let server = SipServer::start(world, "s0", Does::Answer("a".into())).await;
     bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
     let controller = Controller::start(with_console(bulletin.at)).await;
-    controller.holds_list().await;
+    controller.wait_for_list().await;
     let console = controller.console_at.expect("a console");
     (controller, server, console)
 }
@@ -82,7 +82,7 @@
         let console = controller.console_at.expect("a console");
         assert!(call(console, "PING").await.starts_with("FAILURE no list"));
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         assert!(call(console, "PING").await.starts_with("SUCCESS"));
     });
 }
@@ -211,7 +211,7 @@
         };
         assert!(matches!(refused, What::Close(42, Some(_))) && n > 2, "{refused:?} for call {n}");
         assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
-        controller.turns("no connection is left", |i| i.counters().clients == 0).await;
+        controller.wait_for("no connection is left", |i| i.counters().clients == 0).await;
         assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
         assert_eq!(controller.instance.counters().standing, n as usize - 1, "what stands goes on");
     });
--- a/tests/pieces.rs
+++ b/tests/pieces.rs
@@ -44,7 +44,7 @@
             false,
             vec![host("s1", servers[0].at, 1, "draining"), host("s2", unused_address(), 2, "ready")],
         );
-        controller.turns("the bulletin update", |i| i.servers().len() == 3).await;
+        controller.wait_for("the bulletin update", |i| i.servers().len() == 3).await;
         let c = controller.instance.counters();
         assert_eq!((c.malformed_lines, c.malformed_sip, c.spoilt, c.bulletin_failures), (0, 0, 0, 0));
     });
@@ -100,7 +100,7 @@
         if disconnects {
             caller.drop_connection();
         }
-        controller.turns("its connection has been closed", |i| i.counters().clients == 1).await;
+        controller.wait_for("its connection has been closed", |i| i.counters().clients == 1).await;
         // The established call continues; its release goes to the other connection.
         assert_eq!(controller.instance.counters().standing, 1);
         servers[0].release(&name(1), 16);
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -113,14 +113,14 @@
             world.answer(&name(n)).await;
         }
         first.drop_connection();
-        controller.turns("one connection left", |i| i.counters().clients == 1).await;
+        controller.wait_for("one connection left", |i| i.counters().clients == 1).await;
         servers[0].release(&name(1), 41);
         let heard = world.until("the release", is(&name(1), What::Close(41, None))).await;
         assert_eq!(heard.who, "second");
         second.drop_connection();
-        controller.turns("none left", |i| i.counters().clients == 0).await;
+        controller.wait_for("none left", |i| i.counters().clients == 0).await;
         servers[0].release(&name(2), 16);
-        controller.turns("the release is in", |i| i.counters().standing == 0).await;
+        controller.wait_for("the release is in", |i| i.counters().standing == 0).await;
         let _third = Caller::connect(&world, "third", controller.at).await;
         assert_eq!(world.until("it", is(&name(2), What::Close(16, None))).await.who, "third");
     });
@@ -171,7 +171,7 @@
         world.answer(&name(1)).await;
         let before = controller.instance.counters().connected;
         servers[0].reset();
-        controller.turns("a connection is there anew", |i| i.counters().connected > before).await;
+        controller.wait_for("a connection is there anew", |i| i.counters().connected > before).await;
         assert_eq!(controller.instance.counters().standing, 1);
         servers[0].release(&name(1), 16);
         world.until("the release", is(&name(1), What::Close(16, None))).await;
@@ -185,7 +185,7 @@
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let _caller = Caller::connect(&world, "c", controller.at).await;
         controller
-            .turns("both are there", |i| i.counters().clients == 1 && i.counters().connected == 1)
+            .wait_for("both are there", |i| i.counters().clients == 1 && i.counters().connected == 1)
             .await;
         servers[0].release(&name(7), 16);
         world.until("the release", is(&name(7), What::Close(16, None))).await;
@@ -209,7 +209,7 @@
         caller.open(&name(1), 2_000, 0, "x").await;
         assert!(matches!(world.answer(&name(1)).await.what, What::Close(42, Some(_))));
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         caller.say(test).await;
         world.until("it passes", |s| s.what == What::Other("probed 1".into())).await;
     });
@@ -223,7 +223,7 @@
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 1, "x").await; // silent there, stands elsewhere over a second later
         controller.ask_to_stop();
-        controller.turns("it stops", |i| i.stopping()).await;
+        controller.wait_for("it stops", |i| i.stopping()).await;
         let late = Caller::connect(&world, "late", controller.at).await;
         late.open(&name(2), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
@@ -259,7 +259,7 @@
         servers[0].say(b"NOTIFY sip:a@b SIP/2.0\r\n\r\n");
         other.say(&[b'x'; 20_000]).await;
         controller
-            .turns("both are counted", |i| {
+            .wait_for("both are counted", |i| {
                 let c = i.counters();
                 c.malformed_lines == 6
                     && c.malformed_sip == 2
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -10,7 +10,7 @@
 
 use platform::{free_address, Platform};
 use serde_json::{json, Value};
-use support::{name, on_one_thread, settings, Hand};
+use support::{name, on_one_thread, settings, ScriptedServer};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, JoinHandle};
@@ -39,7 +39,7 @@
 struct Place {
     at: SocketAddr,
     serving: Option<JoinHandle<()>>,
-    _full: Option<(Hand, Vec<std::net::TcpStream>)>,
+    _full: Option<(ScriptedServer, Vec<std::net::TcpStream>)>,
 }
 
 impl Drop for Place {
@@ -54,7 +54,7 @@
     match discovery {
         Discovery::Refused => Place { at: free_address(), serving: None, _full: None },
         Discovery::Down => {
-            let full = Hand::full("discovery").await;
+            let full = ScriptedServer::with_full_backlog("discovery").await;
             Place { at: full.0.at, serving: None, _full: Some(full) }
         }
         Discovery::Slow | Discovery::Silent => {
@@ -116,7 +116,7 @@
 #[test]
 fn nine_in_ten_of_thirty_processes_started_at_once_are_ready_whatever_discovery_does() {
     on_one_thread(async {
-        let server = Hand::start("s0").await;
+        let server = ScriptedServer::start("s0").await;
         for discovery in [Discovery::Down, Discovery::Slow, Discovery::Silent, Discovery::Refused] {
             let place = place(discovery).await;
             let config = config_of(place.at, &[server.host(0, "ready")]);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -31,7 +31,7 @@
         next.tell(true, vec![host("s0", servers[0].at, 0, "ready")]);
         next.tell(false, vec![host("s0", servers[0].at, 0, "gone"), host("s1", other.at, 1, "ready")]);
         assert!(controller.instance.reload(support::config(next.at)).is_empty());
-        controller.turns("the new list", |i| i.servers().iter().any(|line| line.host == "s1")).await;
+        controller.wait_for("the new list", |i| i.servers().iter().any(|line| line.host == "s1")).await;
         // What the old one tells from now on is no news.
         old.tell(false, vec![host("s1", other.at, 1, "gone")]);
         caller.open(&name(2), 2_000, 1, "x").await;
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -1,5 +1,5 @@
-//! What the standing test at full size asks of `run`: one process, no Unix socket, no program started, and threads that
-//! wait when there is nothing to do. The controller is the real program, started as the platform starts it.
+//! Process requirements of the full-size continuous run, which starts the controller through the `run` script: one process,
+//! no Unix socket, no child process, and threads that sleep while idle. The tests start the real program as the platform does.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
@@ -7,7 +7,7 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A controller on the platform's path, with a folder of its own as `$TMPDIR` and no listener held for it.
+/// A controller process started as the platform starts it, with its own directory as `$TMPDIR` and no inherited listener.
 struct Platform {
     child: Child,
     log: BufReader<ChildStderr>,
@@ -18,9 +18,9 @@
     fn start(test: &str) -> Platform {
         let dir = std::env::temp_dir().join(format!("lockpoint-standing-{test}-{}", std::process::id()));
         let tmpdir = dir.join("tmp");
-        std::fs::create_dir_all(&tmpdir).expect("a folder");
+        std::fs::create_dir_all(&tmpdir).expect("the temporary directory is created");
         let class = serde_json::json!({"name": "judge-call", "goal-time-us": 2000000, "worth": 1.0});
-        // Nobody listens at the bulletin's port: the controller says so in its log, which tells that it serves.
+        // Nobody listens on the bulletin's port. The controller logs that, which shows that its event loop runs.
         let config = serde_json::json!({"bulletin": "127.0.0.1:9", "settings": {"balancers": 1, "classes": [class],
             "bounds": {"max-attempts": 5},
             "rules": {"cold-share": 0.36, "cold-us": 14000000, "overload-factor": 2.5}}});
@@ -34,13 +34,13 @@
         Platform { child, log, tmpdir }
     }
 
-    /// Reads the log until a line says this; the loop of the controller runs from then on.
-    fn until_said(&mut self, words: &str) {
+    /// Reads the log until a line contains `words`; the event loop runs from then on.
+    fn wait_for_log(&mut self, words: &str) {
         let mut line = String::new();
         loop {
             line.clear();
             let read = self.log.read_line(&mut line).expect("a log");
-            assert!(read > 0, "the controller ended before it said {words:?}");
+            assert!(read > 0, "the controller ended before it logged {words:?}");
             if line.contains(words) {
                 return;
             }
@@ -51,15 +51,15 @@
         PathBuf::from(format!("/proc/{}", self.child.id()))
     }
 
-    /// Processor time of all its threads, from the scheduler's own count (nanoseconds).
-    fn cpu(&self) -> Duration {
+    /// Processor time of all threads, from the scheduler's `schedstat` (nanoseconds).
+    fn processor_time(&self) -> Duration {
         let tasks = std::fs::read_dir(self.proc().join("task")).expect("its threads");
-        let mut all = 0u64;
+        let mut total = 0u64;
         for task in tasks.flatten() {
             let text = std::fs::read_to_string(task.path().join("schedstat")).unwrap_or_default();
-            all += text.split_whitespace().next().and_then(|ns| ns.parse::<u64>().ok()).unwrap_or(0);
+            total += text.split_whitespace().next().and_then(|ns| ns.parse::<u64>().ok()).unwrap_or(0);
         }
-        Duration::from_nanos(all)
+        Duration::from_nanos(total)
     }
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// The inodes of the sockets that a process holds.
+/// The inodes of the sockets that a process has open.
 fn sockets_of(proc: &Path) -> BTreeSet<u64> {
     let fds = std::fs::read_dir(proc.join("fd")).expect("its descriptors");
     let inode = |link: PathBuf| {
@@ -80,7 +80,7 @@
     fds.flatten().filter_map(|fd| std::fs::read_link(fd.path()).ok()).filter_map(inode).collect()
 }
 
-/// The Unix sockets of the machine's view that the process shares: inode, whether it listens, its path.
+/// The Unix sockets in the process's network namespace: inode, whether it listens, path.
 fn unix_sockets(proc: &Path) -> Vec<(u64, bool, Option<String>)> {
     let table = std::fs::read_to_string(proc.join("net/unix")).expect("the table of Unix sockets");
     let row = |line: &str| {
@@ -92,17 +92,18 @@
 }
 
 #[test]
-fn the_run_path_opens_no_unix_socket_starts_no_program_and_leaves_tmpdir_empty() {
+fn the_controller_opens_no_unix_socket_starts_no_program_and_leaves_tmpdir_empty() {
     let mut platform = Platform::start("unix");
-    platform.until_said("bulletin");
+    platform.wait_for_log("bulletin");
     let proc = platform.proc();
-    let held = sockets_of(&proc);
-    assert!(!held.is_empty(), "it listens for callers: a socket is there to be seen");
-    let unix: Vec<_> = unix_sockets(&proc).into_iter().filter(|(inode, ..)| held.contains(inode)).collect();
-    // Built alone, as `build` does, the controller holds none (docs/mass.md). Built with the workspace, whose
-    // laboratory starts programs, the runtime comes with its signal driver and an unnamed pair that nobody can reach.
+    let sockets = sockets_of(&proc);
+    assert!(!sockets.is_empty(), "the listener for callers must show up among the sockets");
+    let unix: Vec<_> =
+        unix_sockets(&proc).into_iter().filter(|(inode, ..)| sockets.contains(inode)).collect();
+    // Built alone, as `build` does, the controller has no Unix socket (docs/mass.md). Built with the workspace, whose
+    // laboratory starts programs, tokio includes its signal driver, which opens an unnamed, unreachable socket pair.
     let named: Vec<_> = unix.iter().filter(|(_, listens, path)| *listens || path.is_some()).collect();
-    assert!(named.is_empty() && unix.len() <= 2, "Unix sockets held: {unix:?}");
+    assert!(named.is_empty() && unix.len() <= 2, "Unix sockets open: {unix:?}");
     let left: Vec<_> =
         std::fs::read_dir(&platform.tmpdir).expect("its folder").flatten().map(|e| e.path()).collect();
     assert!(left.is_empty(), "written to TMPDIR: {left:?}");
@@ -110,18 +111,18 @@
         let children = std::fs::read_to_string(task.path().join("children")).unwrap_or_default();
         assert!(children.trim().is_empty(), "programs started: {children}");
     }
-    assert!(platform.child.try_wait().expect("a state").is_none(), "it still runs");
+    assert!(platform.child.try_wait().expect("a state").is_none(), "the controller still runs");
 }
 
 #[test]
-fn an_idle_controller_s_threads_wait() {
+fn an_idle_controller_uses_under_1_percent_of_a_core() {
     let mut platform = Platform::start("idle");
-    platform.until_said("bulletin");
-    // What the start costs is over once it has asked the bulletin; from then on it only waits for news.
-    let (before, since) = (platform.cpu(), Instant::now());
+    platform.wait_for_log("bulletin");
+    // Start-up work is done once the bulletin has been polled; from then on the controller only waits for events.
+    let (before, since) = (platform.processor_time(), Instant::now());
     std::thread::sleep(Duration::from_secs(2));
-    let used = platform.cpu().saturating_sub(before).as_secs_f64() / since.elapsed().as_secs_f64();
+    let used = platform.processor_time().saturating_sub(before).as_secs_f64() / since.elapsed().as_secs_f64();
     println!("an idle controller uses {:.3}% of a core", used * 100.0);
     assert!(used < 0.01, "{:.3}% of a core while idle", used * 100.0);
-    assert!(platform.child.try_wait().expect("a state").is_none(), "it still runs");
+    assert!(platform.child.try_wait().expect("a state").is_none(), "the controller still runs");
 }
--- a/tests/standing_terms.rs
+++ b/tests/standing_terms.rs
@@ -1,25 +1,27 @@
-//! Terms of the standing test that no other file has a test for: a reload followed by a drain, a list that comes whole again,
-//! and a call server killed right after it accepted a call.
+//! Requirements of the full-size continuous run that no other test file covers: a reload followed by a drain, a repeated full
+//! list, and a call server killed right after it accepted a call.
 
 mod support;
 
 use std::time::{Duration, Instant};
 
 use lockpoint::interface::ServerState;
-use support::{host, in_time, name, on_one_thread, Bulletin, Caller, Controller, Does, Hand, What, World};
+use support::{
+    host, in_time, name, on_one_thread, Bulletin, Caller, Controller, Does, ScriptedServer, What, World,
+};
 
 fn answers(text: &str) -> Does {
     Does::Answer(text.to_owned())
 }
 
-/// Nothing new may go to a call server so long after its drain was told.
-const DRAIN_HEARD_WITHIN: Duration = Duration::from_millis(250);
-/// A client is owed the release of a call that stood within this.
+/// No new call may go to a call server once this time has passed since its drain was published.
+const DRAIN_APPLIED_WITHIN: Duration = Duration::from_millis(250);
+/// A caller must get the release of an established call within this time.
 const RELEASE_WITHIN: Duration = Duration::from_secs(1);
 
-/// Guards against a drain that is told in the moment of a reload and heard by neither the old watch nor the new one.
+/// Guards against a drain that is published right after a reload and missed by both the old bulletin watch and the new one.
 #[test]
-fn a_drain_told_right_after_a_reload_is_heard_in_time() {
+fn a_drain_published_right_after_a_reload_takes_effect_in_time() {
     on_one_thread(async {
         let world = World::default();
         let does = [answers("a"), answers("b")];
@@ -29,67 +31,68 @@
         next.tell(true, vec![ready(0), ready(1)]);
         assert!(controller.instance.reload(support::config(next.at)).is_empty());
         next.tell(false, vec![host("s0", servers[0].at, 0, "draining")]);
-        let told = Instant::now();
+        let published = Instant::now();
         let drains = |i: &lockpoint::instance::Instance| {
             i.servers().iter().any(|line| line.host == "s0" && line.state == ServerState::Draining)
         };
-        controller.turns("the drain is heard", drains).await;
-        assert!(told.elapsed() < DRAIN_HEARD_WITHIN, "heard after {:?}", told.elapsed());
+        controller.wait_for("the drain has taken effect", drains).await;
+        assert!(published.elapsed() < DRAIN_APPLIED_WITHIN, "took effect after {:?}", published.elapsed());
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("b".into()));
     });
 }
 
-/// Guards against a list that is told whole once more and costs connections, or calls that stand or wait.
+/// Guards against a repeated full list that costs connections or established or pending calls.
 #[test]
-fn a_list_that_comes_whole_again_changes_nothing() {
+fn a_repeated_full_list_changes_nothing() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, bulletin) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(wire.hears("INVITE").await, name(1));
-        wire.answers(&name(1), "y").await;
+        assert_eq!(connection.expect_request("INVITE").await, name(1));
+        connection.answers(&name(1), "y").await;
         assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
         caller.open(&name(2), 9_000, 0, "x").await;
-        assert_eq!(wire.hears("INVITE").await, name(2));
+        assert_eq!(connection.expect_request("INVITE").await, name(2));
         let before = controller.instance.counters();
         for _ in 0..3 {
-            bulletin.tell(true, vec![hand.host(0, "ready")]);
+            bulletin.tell(true, vec![server.host(0, "ready")]);
         }
-        // Told after them, so that they have been heard once this one is.
+        // Published after the full lists: once this entry is known, they have been applied.
         bulletin.tell(false, vec![host("s1", "127.0.0.1:9".parse().expect("an address"), 1, "ready")]);
-        let heard = |i: &lockpoint::instance::Instance| i.servers().iter().any(|line| line.host == "s1");
-        controller.turns("the lists are heard", heard).await;
+        let lists_applied =
+            |i: &lockpoint::instance::Instance| i.servers().iter().any(|line| line.host == "s1");
+        controller.wait_for("the lists are applied", lists_applied).await;
         let after = controller.instance.counters();
         assert_eq!((after.standing, after.open, after.cancelled), (1, 1, before.cancelled));
         assert_eq!((after.connected, after.withdrawn), (before.connected, before.withdrawn));
-        wire.answers(&name(2), "z").await;
+        connection.answers(&name(2), "z").await;
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("z".into()));
     });
 }
 
-/// Guards against a caller who is told that its call stands and never that it is over: its call server's process was killed
-/// in the moment of its answer.
+/// Guards against a caller that learns that its call is established but never that it is over, because the call server's
+/// process was killed right after its answer.
 #[test]
-fn a_call_server_killed_right_after_it_accepted_a_call_owes_its_client_one_release() {
+fn a_call_on_a_call_server_killed_after_its_answer_is_released_once() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::start("s0").await;
-        let (controller, _bulletin) = Controller::with_hands(&world, &[&hand], |_| {}).await;
-        let mut wire = hand.greets().await;
+        let server = ScriptedServer::start("s0").await;
+        let (controller, _bulletin) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
+        let mut connection = server.accept_ready().await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(wire.hears("INVITE").await, name(1));
-        wire.answers(&name(1), "y").await;
-        wire.reset();
-        drop(hand);
+        assert_eq!(connection.expect_request("INVITE").await, name(1));
+        connection.answers(&name(1), "y").await;
+        connection.reset();
+        drop(server);
         let killed = Instant::now();
         let release = |seen: &support::Seen| seen.sid == name(1) && matches!(seen.what, What::Close(41, _));
-        in_time("the release", world.until("it", release)).await;
+        in_time("the release", world.until("the release", release)).await;
         assert!(killed.elapsed() < RELEASE_WITHIN, "after {:?}", killed.elapsed());
         let of_call = |seen: &support::Seen| {
             seen.who == "c" && seen.sid == name(1) && matches!(seen.what, What::Ready(_) | What::Close(..))
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: the laboratory's stand-ins, and a controller in the test's own process.
-#![allow(dead_code, unused_imports)] // each test file uses its own part
+//! Shared test support: the laboratory's simulated peers, and a controller that runs in the test's own process.
+#![allow(dead_code, unused_imports)] // each test file uses only some of the items
 
 pub mod iax2;
 
@@ -22,8 +22,8 @@
 
 // ---- The controller --------------------------------------------------------------------------------------
 
-pub fn settings(gateways: u32) -> Value {
-    json!({"balancers": gateways, "new_key": {"a": 1},
+pub fn settings(controllers: u32) -> Value {
+    json!({"balancers": controllers, "new_key": {"a": 1},
         "bounds": {"cancel": true, "connect-timeout-us": 500000, "max-attempts": 5, "max-retry-after-us": 2000000,
             "may-tell": true, "most-held": 2000, "probing": false, "retry-after": true, "second-copies": false},
         "classes": [{"dedup-scope": "all", "goal-time-us": 2000000, "hard-limit-us": 9000000, "late-worth": 0.1,
@@ -64,7 +64,7 @@
         Controller { at: at.expect("a port"), iax2_at, console_at, instance, stop, running }
     }
 
-    /// Starts with one SIP call server for each cell, and waits until the list is held.
+    /// Starts with one simulated SIP call server per cell, and waits until the list has been received.
     pub async fn with_servers(
         world: &World,
         does: &[Does],
@@ -77,27 +77,30 @@
         let hosts = servers.iter().enumerate().map(|(cell, s)| host(&s.name, s.at, cell as u16, "ready"));
         bulletin.tell(true, hosts.collect());
         let controller = Controller::start(config(bulletin.at)).await;
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         (controller, servers, bulletin)
     }
 
-    pub async fn holds_list(&self) {
-        self.turns("the list is held", |instance| instance.ready()).await;
+    pub async fn wait_for_list(&self) {
+        self.wait_for("the list has been received", |instance| instance.ready()).await;
     }
 
-    /// Waits until the controller has come to a state.
-    pub async fn turns(&self, name: &str, into: impl Fn(&Instance) -> bool) {
+    /// Waits until the controller meets a condition.
+    pub async fn wait_for(&self, name: &str, condition: impl Fn(&Instance) -> bool) {
         let waited = tokio::time::timeout(Duration::from_secs(20), async {
-            while !into(&self.instance) {
+            while !condition(&self.instance) {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         });
-        assert!(waited.await.is_ok(), "never: {name}; {:?}", self.instance.counters());
+        assert!(waited.await.is_ok(), "timed out: {name}; {:?}", self.instance.counters());
     }
 
     pub async fn stop(self) -> Counters {
         self.stop.notify_one();
-        tokio::time::timeout(Duration::from_secs(20), self.running).await.expect("it ends").expect("no panic")
+        tokio::time::timeout(Duration::from_secs(20), self.running)
+            .await
+            .expect("the controller ends")
+            .expect("no panic")
     }
 
     pub fn ask_to_stop(&self) {
@@ -109,86 +112,90 @@
     Sid::from_number(0x9b1f_03aa_0000_0000 + n).to_string()
 }
 
-// ---- A call server that a test holds in its hand ----------------------------------------------------------
+// ---- A call server scripted by the test -------------------------------------------------------------------
 
-/// A call server that accepts, reads and says only what a test tells it to, when it is told to.
-pub struct Hand {
+/// A call server that accepts, reads and sends only when the test makes it do so.
+pub struct ScriptedServer {
     pub at: SocketAddr,
     pub name: String,
     listener: tokio::net::TcpListener,
 }
 
-/// One of its connections.
-pub struct Wire {
+/// A connection that a scripted call server has accepted.
+pub struct ServerConnection {
     pub stream: tokio::net::TcpStream,
     bytes: Vec<u8>,
 }
 
-pub const NEVER: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for what must come.
-pub async fn in_time<T>(name: &str, what: impl std::future::Future<Output = T>) -> T {
-    tokio::time::timeout(NEVER, what).await.unwrap_or_else(|_| panic!("never: {name}"))
+/// Waits for an event that must occur; panics after [`TIMEOUT`].
+pub async fn in_time<T>(name: &str, future: impl std::future::Future<Output = T>) -> T {
+    tokio::time::timeout(TIMEOUT, future).await.unwrap_or_else(|_| panic!("timed out: {name}"))
 }
 
-impl Hand {
-    pub async fn start(name: &str) -> Hand {
+impl ScriptedServer {
+    pub async fn start(name: &str) -> ScriptedServer {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        Hand { at: listener.local_addr().expect("an address"), name: name.to_owned(), listener }
+        ScriptedServer { at: listener.local_addr().expect("an address"), name: name.to_owned(), listener }
     }
-    /// One whose connections take little before they are read.
-    pub async fn narrow(name: &str) -> Hand {
+    /// A call server with a small receive buffer: its connections accept few bytes before they are read.
+    pub async fn with_small_receive_buffer(name: &str) -> ScriptedServer {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4_096).expect("set");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = socket.listen(1).expect("it listens");
-        Hand { at: listener.local_addr().expect("an address"), name: name.to_owned(), listener }
+        let listener = socket.listen(1).expect("the socket listens");
+        ScriptedServer { at: listener.local_addr().expect("an address"), name: name.to_owned(), listener }
     }
-    /// Fills the queue of connections: no more come up until those that fill it are accepted.
-    pub fn fill(&self) -> Vec<std::net::TcpStream> {
+    /// Fills the accept queue: no further connection is established until those in the queue are accepted.
+    pub fn fill_backlog(&self) -> Vec<std::net::TcpStream> {
         let mut fill = Vec::new();
         while let Ok(stream) = std::net::TcpStream::connect_timeout(&self.at, Duration::from_millis(200)) {
             fill.push(stream);
-            assert!(fill.len() < 16, "the queue of connections has an end");
+            assert!(fill.len() < 16, "the accept queue is bounded");
         }
         fill
     }
-    /// One to which no connection comes up until it accepts: its queue of connections is full. Those that fill it come
-    /// along.
-    pub async fn full(name: &str) -> (Hand, Vec<std::net::TcpStream>) {
+    /// A call server whose accept queue is full, so that no connection to it is established until it accepts. Returns the
+    /// connections in the queue as well.
+    pub async fn with_full_backlog(name: &str) -> (ScriptedServer, Vec<std::net::TcpStream>) {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let listener = socket.listen(1).expect("it listens");
-        let hand = Hand { at: listener.local_addr().expect("an address"), name: name.to_owned(), listener };
-        let fill = hand.fill();
-        (hand, fill)
+        let listener = socket.listen(1).expect("the socket listens");
+        let server = ScriptedServer {
+            at: listener.local_addr().expect("an address"),
+            name: name.to_owned(),
+            listener,
+        };
+        let fill = server.fill_backlog();
+        (server, fill)
     }
-    /// The next connection, on which nothing has been said.
-    pub async fn accept(&self) -> Wire {
+    /// Accepts the next connection without sending anything on it.
+    pub async fn accept(&self) -> ServerConnection {
         let (stream, _) = in_time("a connection", self.listener.accept()).await.expect("accepted");
         stream.set_nodelay(true).expect("set");
-        Wire { stream, bytes: Vec::new() }
+        ServerConnection { stream, bytes: Vec::new() }
     }
-    /// The next connection, on which the call server has said its state: it carries set-ups.
-    pub async fn greets(&self) -> Wire {
-        let mut wire = self.accept().await;
-        wire.say("NOTIFY sip:peer@net SIP/2.0\r\nCSeq: 1 NOTIFY\r\nP-Report: x0:500;x1:500\r\nContent-Length: 0\r\n\r\n")
+    /// Accepts the next connection and reports the call server's state on it, so that the controller uses it for set-ups.
+    pub async fn accept_ready(&self) -> ServerConnection {
+        let mut connection = self.accept().await;
+        connection.send("NOTIFY sip:peer@net SIP/2.0\r\nCSeq: 1 NOTIFY\r\nP-Report: x0:500;x1:500\r\nContent-Length: 0\r\n\r\n")
             .await;
-        wire
+        connection
     }
-    /// The line of the list.
+    /// The call server's entry in the list.
     pub fn host(&self, cell: u16, health: &str) -> Value {
         host(&self.name, self.at, cell, health)
     }
 }
 
-impl Wire {
-    pub async fn say(&mut self, text: &str) {
+impl ServerConnection {
+    pub async fn send(&mut self, text: &str) {
         use tokio::io::AsyncWriteExt;
         self.stream.write_all(text.as_bytes()).await.expect("written");
     }
-    /// The next request of this method; requests of other methods before it are passed over.
-    pub async fn hears(&mut self, method: &str) -> String {
+    /// The call of the next request of this method; skips requests of other methods.
+    pub async fn expect_request(&mut self, method: &str) -> String {
         in_time(method, async {
             loop {
                 let (m, call) =
@@ -200,7 +207,7 @@
         })
         .await
     }
-    /// The next request: its method and its call; `None`: the connection has ended.
+    /// The method and call of the next request; `None` if the connection has ended.
     pub async fn next(&mut self) -> Option<(String, String)> {
         use lockpoint::upstream::sip::message::{parse, Start};
         use tokio::io::AsyncReadExt;
@@ -222,43 +229,43 @@
     }
     pub async fn replies(&mut self, sid: &str, code: u16, description: &str) {
         let length = description.len();
-        self.say(&format!(
+        self.send(&format!(
             "SIP/2.0 {code} X\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Length: {length}\r\n\r\n{description}"
         ))
         .await;
     }
-    /// A call that stood is over, for this cause.
+    /// Releases an established call with this cause.
     pub async fn releases(&mut self, sid: &str, cause: u16) {
-        self.say(&format!(
+        self.send(&format!(
             "BYE sip:peer@net SIP/2.0\r\nCall-ID: {sid}\r\nCSeq: 2 BYE\r\nReason: Q.850;cause={cause}\r\nContent-Length: 0\r\n\r\n"
         ))
         .await;
     }
-    /// The process dies: the connection is reset.
+    /// Resets the connection, as when the call server's process dies.
     pub fn reset(self) {
         self.stream.set_zero_linger().expect("set");
     }
 }
 
 impl Controller {
-    /// Starts with these call servers, one for each cell, told by a bulletin.
-    pub async fn with_hands(
+    /// Starts with these call servers, one per cell, listed by a bulletin.
+    pub async fn with_scripted_servers(
         world: &World,
-        hands: &[&Hand],
+        servers: &[&ScriptedServer],
         change: impl FnOnce(&mut InstanceConfig),
     ) -> (Controller, Rc<Bulletin>) {
         let bulletin = Bulletin::start(world).await;
-        bulletin.tell(true, (0..).zip(hands).map(|(cell, hand)| hand.host(cell, "ready")).collect());
+        bulletin.tell(true, (0..).zip(servers).map(|(cell, server)| server.host(cell, "ready")).collect());
         let mut config = config(bulletin.at);
         change(&mut config);
         let controller = Controller::start(config).await;
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         (controller, bulletin)
     }
 }
 
-/// Aims so long that no call is refused for want of haste, however busy the machine is.
-pub fn unhurried(config: &mut InstanceConfig) {
-    let aim = lockpoint::interface::Span::from_millis(600_000);
-    config.core.settings.classes.iter_mut().for_each(|class| class.setup_target = aim);
+/// Sets set-up targets so long that no call is refused for missing them, however busy the machine is.
+pub fn long_setup_target(config: &mut InstanceConfig) {
+    let target = lockpoint::interface::Span::from_millis(600_000);
+    config.core.settings.classes.iter_mut().for_each(|class| class.setup_target = target);
 }
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -1,5 +1,5 @@
-//! The real program, started as the platform starts it, with its console asked by the test.
-#![allow(dead_code)] // each test file uses its own part
+//! The real program, started as the platform starts it, with its console called by the test.
+#![allow(dead_code)] // each test file uses only some of the items
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -9,14 +9,14 @@
 
 use serde_json::Value;
 
-/// An address of the loopback network on which nobody listens, and which no other test of this machine is given.
+/// A loopback address on which nobody listens, and which no other test process on this machine gets.
 pub fn free_address() -> SocketAddr {
     let process = std::process::id().to_be_bytes();
     let own = Ipv4Addr::new(127, 1 + process[1] % 254, process[2], process[3].max(1));
     TcpListener::bind((own, 0)).and_then(|listener| listener.local_addr()).expect("a port")
 }
 
-/// One controller; it ends with the test.
+/// A controller process, killed when dropped.
 pub struct Platform {
     pub child: Child,
     pub at: SocketAddr,
@@ -25,44 +25,44 @@
 }
 
 impl Platform {
-    /// Starts one with this configuration, under a limit of the system's on its descriptors where one is given.
+    /// Starts a controller with this configuration and, if given, this limit on open file descriptors (`ulimit -n`).
     pub fn start(name: &str, config: &Value, descriptors: Option<u32>) -> Platform {
         let (at, console) = (free_address(), free_address());
         let file = std::env::temp_dir().join(format!("lockpoint-{name}-{}.json", std::process::id()));
         std::fs::write(&file, config.to_string()).expect("written");
         let program = env!("CARGO_BIN_EXE_lockpoint");
-        let mut command = match descriptors {
-            Some(most) => {
+        let mut process = match descriptors {
+            Some(limit) => {
                 let mut shell = Command::new("sh");
-                shell.args(["-c", &format!("ulimit -n {most} && exec \"$0\""), program]);
+                shell.args(["-c", &format!("ulimit -n {limit} && exec \"$0\""), program]);
                 shell
             }
             None => Command::new(program),
         };
-        command.env("ROUTER_CONFIG", &file).env("ROUTER_LISTEN", at.to_string()).env("ROUTER_NAME", name);
-        command.env("ROUTER_CONSOLE", console.to_string()).env_remove("ROUTER_FD");
-        let child = command.stderr(Stdio::null()).spawn().expect("it starts");
+        process.env("ROUTER_CONFIG", &file).env("ROUTER_LISTEN", at.to_string()).env("ROUTER_NAME", name);
+        process.env("ROUTER_CONSOLE", console.to_string()).env_remove("ROUTER_FD");
+        let child = process.stderr(Stdio::null()).spawn().expect("the controller starts");
         Platform { child, at, console, file }
     }
 
-    /// Calls its console; `None`: nobody answers there.
-    pub fn call(&self, word: &str) -> Option<String> {
+    /// Sends a command to the console; `None` if there is no answer.
+    pub fn call(&self, command: &str) -> Option<String> {
         let mut stream = TcpStream::connect_timeout(&self.console, Duration::from_secs(1)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
-        stream.write_all(format!("{word}\n").as_bytes()).ok()?;
+        stream.write_all(format!("{command}\n").as_bytes()).ok()?;
         let mut answer = String::new();
         stream.read_to_string(&mut answer).ok()?;
         Some(answer)
     }
 
-    /// Descriptors that it holds.
+    /// The number of file descriptors that the process has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
     pub fn signal(&self, which: &str) {
         let kill = Command::new("kill").args([which, &self.child.id().to_string()]).status();
-        assert!(kill.expect("it runs").success());
+        assert!(kill.expect("kill runs").success());
     }
 }
 
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -465,8 +465,8 @@
     on_one_thread(async {
         let place = Place::new("waits", Does::Silent).await;
         let world = &place.world;
-        let hand = support::Hand::start("s1").await;
-        let (late, fill) = support::Hand::full("s2").await;
+        let hand = support::ScriptedServer::start("s1").await;
+        let (late, fill) = support::ScriptedServer::with_full_backlog("s2").await;
         place.bulletin.tell(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
         let long = |text: &mut serde_json::Value| {
             text["settings"]["bounds"]["connect-timeout-us"] = json!(60_000_000u64);
@@ -474,16 +474,16 @@
         let first = place.start_with(place.a_console(), long);
         until("it can serve", async || first.call("PING").await.starts_with("SUCCESS")).await;
         until("all are known", async || first.call("INFO").await.contains("controller.members:3|g")).await;
-        let mut wire = hand.greets().await;
+        let mut wire = hand.accept_ready().await;
         let caller = Caller::connect(world, "c", place.at()).await;
         caller.open(&name(2), 9_000, 2, "x").await;
         caller.open(&name(3), 9_000, 0, "x").await;
         world.until("it is out", set_up(&name(3))).await;
         caller.open(&name(1), 9_000, 1, "x").await;
-        assert_eq!(wire.hears("INVITE").await, name(1));
+        assert_eq!(wire.expect_request("INVITE").await, name(1));
         let reset = Instant::now();
         wire.replies(&name(1), 504, "").await;
-        wire.hears("ACK").await;
+        wire.expect_request("ACK").await;
         let second = place.start_with(place.a_console(), long);
         // Said to whichever of the two reads it.
         caller.close(&name(3), 16).await;
@@ -493,7 +493,7 @@
         // The rest that began in one process ends in the other.
         let call = name(1);
         let again = tokio::select! {
-            call = wire.hears("INVITE") => call,
+            call = wire.expect_request("INVITE") => call,
             seen = world.until("elsewhere", set_up(&call)) => seen.sid,
         };
         assert_eq!(again, name(1));
@@ -512,7 +512,7 @@
         drop(fill);
         let mut kept = Vec::new();
         loop {
-            let mut wire = late.greets().await;
+            let mut wire = late.accept_ready().await;
             if let Ok(Some((method, call))) =
                 tokio::time::timeout(Duration::from_millis(1_000), wire.next()).await
             {
