--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -78,7 +78,7 @@
         let received = talk_until_closed(controller.at, &input).await;
         assert!(!received.contains("ready"), "{received}");
         assert!(received.contains(answer), "{received}");
-        controller.turns("the connection is closed", |i| i.counters().clients == 0).await;
+        controller.wait_for("the connection is closed", |i| i.counters().clients == 0).await;
         assert_eq!(controller.instance.counters().open, 0);
     });
 }
@@ -95,7 +95,7 @@
         config.limits.sockets = 64;
         let room = config.limits.client_connections();
         let controller = Controller::start(config).await;
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         let mut silent = Vec::new();
         for _ in 0..2 * room {
             silent.push(TcpStream::connect(controller.at).await.expect("the controller listens"));
@@ -128,7 +128,7 @@
         assert_eq!(controller.instance.counters().open, 256);
         let usual = Caller::connect(&world, "usual", controller.at).await;
         usual.open(&name(1_000), 9_000, 0, "x").await;
-        controller.turns("the set-up of the other caller is accepted", |i| i.counters().open == 257).await;
+        controller.wait_for("the set-up of the other caller is accepted", |i| i.counters().open == 257).await;
     });
 }
 
--- a/tests/bad_peers.rs
+++ b/tests/bad_peers.rs
@@ -60,7 +60,7 @@
         for n in 1..=20 {
             let before = controller.instance.counters().connected;
             servers[0].reset();
-            controller.turns("a new connection is open", |i| i.counters().connected > before).await;
+            controller.wait_for("a new connection is open", |i| i.counters().connected > before).await;
             caller.open(&name(n), 9_000, 0, "x").await;
             assert_eq!(world.answer(&name(n)).await.what, What::Ready("a".into()));
         }
@@ -85,7 +85,7 @@
         let drains = |i: &lockpoint::instance::Instance| {
             i.servers().iter().any(|l| l.state == lockpoint::interface::ServerState::Draining)
         };
-        controller.turns("the drain is noticed", drains).await;
+        controller.wait_for("the drain is noticed", drains).await;
         assert!(told.elapsed() < Duration::from_secs(2), "noticed after {:?}", told.elapsed());
         assert!(controller.instance.counters().bulletin_failures > 0);
     });
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -12,7 +12,9 @@
 use rstest::rstest;
 use serde_json::json;
 use support::iax2::{IaxCaller, Resolver, SERVICE};
-use support::{in_time, name, on_one_thread, Bulletin, Controller, Hand, What, Wire, World};
+use support::{
+    in_time, name, on_one_thread, Bulletin, Controller, ScriptedServer, ServerConnection, What, World,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
@@ -74,9 +76,9 @@
     world: World,
     controller: Controller,
     _bulletin: std::rc::Rc<Bulletin>,
-    hand: Hand,
+    hand: ScriptedServer,
     /// Connections on which set-ups may arrive.
-    links: Vec<Wire>,
+    links: Vec<ServerConnection>,
     /// Connections that fill the call server's backlog.
     backlog: Vec<std::net::TcpStream>,
 }
@@ -92,8 +94,8 @@
     ) -> Scene {
         let world = World::default();
         let (hand, backlog) = match waits {
-            WaitsFor::Connection => Hand::full("s0").await,
-            _ => (Hand::start("s0").await, Vec::new()),
+            WaitsFor::Connection => ScriptedServer::with_full_backlog("s0").await,
+            _ => (ScriptedServer::start("s0").await, Vec::new()),
         };
         // The connect timeout is longer than the test: the connection comes up when the test lets it.
         let long = |config: &mut lockpoint::config::InstanceConfig| {
@@ -102,7 +104,7 @@
             config.iax2 = Some(Iax2Config::new(any, any));
             change(config);
         };
-        let (controller, bulletin) = Controller::with_hands(&world, &[&hand], long).await;
+        let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&hand], long).await;
         Scene { world, controller, _bulletin: bulletin, hand, links: Vec::new(), backlog }
     }
 
@@ -112,15 +114,15 @@
             WaitsFor::Connection => {}
             WaitsFor::FirstMessage => {
                 // A new connection on which the call server sends nothing.
-                self.hand.greets().await.reset();
+                self.hand.accept_ready().await.reset();
                 let link = self.hand.accept().await;
                 self.links.push(link);
             }
             WaitsFor::Reconnection => self.links.push(self.hand.accept().await),
-            WaitsFor::ResendDelay => self.links.push(self.hand.greets().await),
+            WaitsFor::ResendDelay => self.links.push(self.hand.accept_ready().await),
         }
         let caller = open(&self.controller).await;
-        self.controller.turns("the call is accepted", |i| i.counters().taken == 1).await;
+        self.controller.wait_for("the call is accepted", |i| i.counters().taken == 1).await;
         match waits {
             WaitsFor::Reconnection => {
                 self.links.remove(0).reset();
@@ -129,10 +131,10 @@
             }
             WaitsFor::ResendDelay => {
                 let link = &mut self.links[0];
-                assert_eq!(link.hears("INVITE").await, name(1));
+                assert_eq!(link.expect_request("INVITE").await, name(1));
                 link.replies(&name(1), 504, "").await;
                 // The answer has been read by now: later messages of the call server are handled after it.
-                link.hears("ACK").await;
+                link.expect_request("ACK").await;
             }
             _ => {}
         }
@@ -141,7 +143,7 @@
 
     /// Checks that call 1 has ended, that none of its attempts was sent too late, and that another call is served.
     async fn assert_nothing_sent(mut self, waits: WaitsFor, left: Instant) {
-        self.controller.turns("the call is given up", |i| i.counters().open == 0).await;
+        self.controller.wait_for("the call is given up", |i| i.counters().open == 0).await;
         assert!(left.elapsed() < Duration::from_secs(5), "given up only by its time limit");
         let counters = self.controller.instance.counters();
         assert_eq!((counters.given_up, counters.failed, counters.completed), (1, 0, 0));
@@ -153,7 +155,7 @@
         if matches!(waits, WaitsFor::Connection) {
             loop {
                 // The connections that filled the backlog come first and send nothing.
-                let mut link = self.hand.greets().await;
+                let mut link = self.hand.accept_ready().await;
                 if let Ok(Some((method, call))) =
                     tokio::time::timeout(Duration::from_millis(1_000), link.next()).await
                 {
@@ -232,7 +234,7 @@
             scene.wait_for(WaitsFor::ResendDelay, async |c| connect_and_open(c.at, &name(1)).await).await;
         caller.shutdown().await.expect("half closed");
         let link = &mut scene.links[0];
-        assert_eq!(link.hears("INVITE").await, name(1), "the next attempt, after the delay");
+        assert_eq!(link.expect_request("INVITE").await, name(1), "the next attempt, after the delay");
         link.answers(&name(1), "y").await;
         let mut heard = String::new();
         in_time("the end", caller.read_to_string(&mut heard)).await.expect("read");
@@ -242,7 +244,7 @@
         assert_eq!(others, 1, "one answer, and progress messages: {heard}");
         // The caller has read the answer and closes: its call stays established.
         drop(caller);
-        scene.controller.turns("the connection is removed", |i| i.counters().clients == 0).await;
+        scene.controller.wait_for("the connection is removed", |i| i.counters().clients == 0).await;
         assert_eq!(scene.controller.instance.counters().standing, 1);
     });
 }
@@ -258,7 +260,7 @@
         let mut caller =
             scene.wait_for(WaitsFor::ResendDelay, async |c| connect_and_open(c.at, &name(1)).await).await;
         caller.write_all(b"[]\n").await.expect("written");
-        scene.controller.turns("the message is rejected", |i| i.counters().malformed_lines == 1).await;
+        scene.controller.wait_for("the message is rejected", |i| i.counters().malformed_lines == 1).await;
         let open = leave(caller, how).await;
         scene.assert_nothing_sent(WaitsFor::ResendDelay, Instant::now()).await;
         drop(open);
@@ -271,25 +273,24 @@
 fn queued_set_ups_are_withdrawn_and_sent_ones_are_cancelled() {
     on_one_thread(async {
         let world = World::default();
-        let hand = Hand::narrow("s0").await;
-        let (controller, _bulletin) = Controller::with_hands(&world, &[&hand], |c| {
-            support::unhurried(c);
+        let hand = ScriptedServer::with_small_receive_buffer("s0").await;
+        let (controller, _bulletin) = Controller::with_scripted_servers(&world, &[&hand], |c| {
+            support::long_setup_target(c);
             c.connect_timeout = lockpoint::interface::Span::from_millis(60_000);
         })
         .await;
-        let mut link = hand.greets().await;
+        let mut link = hand.accept_ready().await;
         let speaks = |i: &lockpoint::instance::Instance| i.counters().connected == 1;
-        controller.turns("a connection", speaks).await;
-        let _backlog = hand.fill(); // no second connection comes up
-
-        // The call server reads nothing from here on. The caller sends more at once than the connection takes.
+        controller.wait_for("a connection", speaks).await;
+        let _backlog = hand.fill_backlog(); // no second connection comes up beside it
+                                            // The call server reads nothing from here on. The caller sends more at once than the connection takes.
         const ALL: u64 = 250;
         let mut caller = TcpStream::connect(controller.at).await.expect("it listens");
         let all: String = (1..=ALL).map(|n| open_line(&name(n), &"y".repeat(14_000))).collect();
         caller.write_all(all.as_bytes()).await.expect("written");
-        controller.turns("all are accepted", |i| i.counters().taken == ALL).await;
+        controller.wait_for("all are accepted", |i| i.counters().taken == ALL).await;
         drop(caller);
-        controller.turns("all are given up", |i| i.counters().open == 0).await;
+        controller.wait_for("all are given up", |i| i.counters().open == 0).await;
         let counters = controller.instance.counters();
         assert!(counters.withdrawn > 0, "some were still queued: {counters:?}");
         let (mut out, mut seen) = (std::collections::BTreeSet::new(), 0);
@@ -326,7 +327,7 @@
         config.iax2 = Some(Iax2Config::new(any, any));
         config.dns_sd = Some(DnsSdConfig { resolver: resolver.at, service: SERVICE.to_owned() });
         let controller = Controller::start(config).await;
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         let caller = connect_and_open(controller.at, &name(1)).await;
         let mut bytes = vec![0; 4_096];
         let mut kind = async || {
@@ -372,19 +373,19 @@
     let mut clients = Vec::new();
     match waits {
         WaitsFor::FirstMessage => {
-            scene.hand.greets().await.reset();
+            scene.hand.accept_ready().await.reset();
             scene.links.push(scene.hand.accept().await);
         }
-        WaitsFor::ResendDelay => scene.links.push(scene.hand.greets().await),
+        WaitsFor::ResendDelay => scene.links.push(scene.hand.accept_ready().await),
         WaitsFor::Connection | WaitsFor::Reconnection => {}
     }
     for n in 1..=count {
         clients.push(connect_and_open(scene.controller.at, &name(n)).await);
     }
-    scene.controller.turns("all are accepted", |i| i.counters().taken == count).await;
+    scene.controller.wait_for("all are accepted", |i| i.counters().taken == count).await;
     if matches!(waits, WaitsFor::ResendDelay) {
         for _ in 1..=scene.controller.instance.counters().attempts {
-            let call = scene.links[0].hears("INVITE").await;
+            let call = scene.links[0].expect_request("INVITE").await;
             scene.links[0].replies(&call, 504, "").await;
         }
     }
@@ -433,7 +434,7 @@
     #[case] count: u64,
 ) {
     on_one_thread(async {
-        let mut scene = Scene::with_config(waits, support::unhurried).await;
+        let mut scene = Scene::with_config(waits, support::long_setup_target).await;
         let mut clients = waiting_clients(&mut scene, waits, count).await;
         match detected {
             Detected::WithoutSignal => {
@@ -448,7 +449,7 @@
                 }
                 scene
                     .controller
-                    .turns("all messages are rejected", |i| i.counters().malformed_lines == count)
+                    .wait_for("all messages are rejected", |i| i.counters().malformed_lines == count)
                     .await;
             }
             Detected::AtOnce | Detected::After(_) => {}
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -120,14 +120,14 @@
             world.answer(&name(n)).await;
         }
         first.drop_connection();
-        controller.turns("one connection left", |i| i.counters().clients == 1).await;
+        controller.wait_for("one connection left", |i| i.counters().clients == 1).await;
         servers[0].release(&name(1), 41);
         let release = world.until("the release", event(&name(1), What::Close(41, None))).await;
         assert_eq!(release.who, "second");
         second.drop_connection();
-        controller.turns("none left", |i| i.counters().clients == 0).await;
+        controller.wait_for("none left", |i| i.counters().clients == 0).await;
         servers[0].release(&name(2), 16);
-        controller.turns("the release is received", |i| i.counters().standing == 0).await;
+        controller.wait_for("the release is received", |i| i.counters().standing == 0).await;
         let _third = Caller::connect(&world, "third", controller.at).await;
         assert_eq!(
             world.until("the second release", event(&name(2), What::Close(16, None))).await.who,
@@ -181,7 +181,7 @@
         world.answer(&name(1)).await;
         let before = controller.instance.counters().connected;
         servers[0].reset();
-        controller.turns("a new connection is established", |i| i.counters().connected > before).await;
+        controller.wait_for("a new connection is established", |i| i.counters().connected > before).await;
         assert_eq!(controller.instance.counters().standing, 1);
         servers[0].release(&name(1), 16);
         world.until("the release", event(&name(1), What::Close(16, None))).await;
@@ -195,7 +195,7 @@
         let (controller, servers, _) = Controller::with_servers(&world, &[answer_with("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         controller
-            .turns("caller and call server are connected", |i| {
+            .wait_for("caller and call server are connected", |i| {
                 i.counters().clients == 1 && i.counters().connected == 1
             })
             .await;
@@ -221,7 +221,7 @@
         caller.open(&name(1), 2_000, 0, "x").await;
         assert!(matches!(world.answer(&name(1)).await.what, What::Close(42, Some(_))));
         bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
-        controller.holds_list().await;
+        controller.wait_for_list().await;
         caller.say(probe).await;
         world.until("the health check passes", |s| s.what == What::Other("probed 1".into())).await;
     });
@@ -237,7 +237,7 @@
         // One call server is silent; the other one answers more than a second later.
         caller.open(&name(1), 9_000, 1, "x").await;
         controller.ask_to_stop();
-        controller.turns("the controller is stopping", |i| i.stopping()).await;
+        controller.wait_for("the controller is stopping", |i| i.stopping()).await;
         let late = Caller::connect(&world, "late", controller.at).await;
         late.open(&name(2), 9_000, 0, "x").await;
         assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
@@ -274,7 +274,7 @@
         servers[0].say(b"NOTIFY sip:a@b SIP/2.0\r\n\r\n");
         other.say(&[b'x'; 20_000]).await;
         controller
-            .turns("all malformed messages are counted", |i| {
+            .wait_for("all malformed messages are counted", |i| {
                 let c = i.counters();
                 c.malformed_lines == 6
                     && c.malformed_sip == 2
--- a/tests/readiness.rs
+++ b/tests/readiness.rs
@@ -10,7 +10,7 @@
 
 use platform::{free_address, Platform};
 use serde_json::{json, Value};
-use support::{name, on_one_thread, settings, Hand};
+use support::{name, on_one_thread, settings, ScriptedServer};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, JoinHandle};
@@ -39,7 +39,7 @@
 struct DiscoveryServer {
     at: SocketAddr,
     serving: Option<JoinHandle<()>>,
-    _full_backlog: Option<(Hand, Vec<std::net::TcpStream>)>,
+    _full_backlog: Option<(ScriptedServer, Vec<std::net::TcpStream>)>,
 }
 
 impl Drop for DiscoveryServer {
@@ -54,7 +54,7 @@
     match discovery {
         Discovery::Refused => DiscoveryServer { at: free_address(), serving: None, _full_backlog: None },
         Discovery::Down => {
-            let backlog = Hand::full("discovery").await;
+            let backlog = ScriptedServer::with_full_backlog("discovery").await;
             DiscoveryServer { at: backlog.0.at, serving: None, _full_backlog: Some(backlog) }
         }
         Discovery::Slow | Discovery::Silent => {
@@ -116,7 +116,7 @@
 #[test]
 fn nine_in_ten_of_thirty_processes_started_at_once_are_ready_whatever_discovery_does() {
     on_one_thread(async {
-        let server = Hand::start("s0").await;
+        let server = ScriptedServer::start("s0").await;
         for discovery in [Discovery::Down, Discovery::Slow, Discovery::Silent, Discovery::Refused] {
             let discovery_server = start_discovery(discovery).await;
             let config = config_of(discovery_server.at, &[server.host(0, "ready")]);
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -477,8 +477,8 @@
     on_one_thread(async {
         let platform = Platform::new("waits", Does::Silent).await;
         let world = &platform.world;
-        let hand = support::Hand::start("s1").await;
-        let (late, fill) = support::Hand::full("s2").await;
+        let hand = support::ScriptedServer::start("s1").await;
+        let (late, fill) = support::ScriptedServer::with_full_backlog("s2").await;
         platform.bulletin.tell(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
         let long = |text: &mut serde_json::Value| {
             text["settings"]["bounds"]["connect-timeout-us"] = json!(60_000_000u64);
@@ -489,16 +489,16 @@
             first.call("INFO").await.contains("controller.members:3|g")
         })
         .await;
-        let mut link = hand.greets().await;
+        let mut link = hand.accept_ready().await;
         let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(2), 9_000, 2, "x").await;
         caller.open(&name(3), 9_000, 0, "x").await;
         world.until("the attempt is out", set_up(&name(3))).await;
         caller.open(&name(1), 9_000, 1, "x").await;
-        assert_eq!(link.hears("INVITE").await, name(1));
+        assert_eq!(link.expect_request("INVITE").await, name(1));
         let refused_at = Instant::now();
         link.replies(&name(1), 504, "").await;
-        link.hears("ACK").await;
+        link.expect_request("ACK").await;
         let second = platform.start_with(platform.free_console_address(), long);
         // Read by either of the two processes.
         caller.close(&name(3), 16).await;
@@ -508,7 +508,7 @@
         // The delay that began in the old process ends in the new one.
         let call = name(1);
         let retried = tokio::select! {
-            call = link.hears("INVITE") => call,
+            call = link.expect_request("INVITE") => call,
             seen = world.until("another server", set_up(&call)) => seen.sid,
         };
         assert_eq!(retried, name(1));
@@ -527,7 +527,7 @@
         drop(fill);
         let mut kept = Vec::new();
         loop {
-            let mut link = late.greets().await;
+            let mut link = late.accept_ready().await;
             if let Ok(Some((method, call))) =
                 tokio::time::timeout(Duration::from_millis(1_000), link.next()).await
             {
