--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -282,8 +282,9 @@
         let mut link = hand.accept_ready().await;
         let speaks = |i: &lockpoint::instance::Instance| i.counters().connected == 1;
         controller.wait_for("a connection", speaks).await;
-        let _backlog = hand.fill_backlog(); // no second connection comes up beside it
-                                            // The call server reads nothing from here on. The caller sends more at once than the connection takes.
+        let _backlog = hand.fill_backlog(); // no second connection comes up
+
+        // The call server reads nothing from here on. The caller sends more at once than the connection takes.
         const ALL: u64 = 250;
         let mut caller = TcpStream::connect(controller.at).await.expect("it listens");
         let all: String = (1..=ALL).map(|n| open_line(&name(n), &"y".repeat(14_000))).collect();
