--- a/crates/lockpoint-lab/src/audit.rs
+++ b/crates/lockpoint-lab/src/audit.rs
@@ -7,7 +7,7 @@
 use lockpoint::interface::{Span, Time};
 use serde::Serialize;
 
-use crate::world::{Ask, News, What};
+use crate::world::{Ask, EventKind, ListedState};
 
 /// Every time limit grows by this: stand-ins and the controller are scheduled by the same machine.
 const SLACK: Span = Span::from_millis(50);
@@ -87,7 +87,7 @@
 #[derive(Debug, Default)]
 pub struct Audit {
     calls: BTreeMap<String, Call>,
-    news: BTreeMap<String, (News, Time)>,
+    news: BTreeMap<String, (ListedState, Time)>,
     broken: BTreeMap<Rule, (u64, String)>,
     /// What it has counted.
     pub counts: Counts,
@@ -101,21 +101,21 @@
     }
 
     /// Each broken rule: how often, and the first case.
-    pub fn broken(&self) -> &BTreeMap<Rule, (u64, String)> {
+    pub fn violations(&self) -> &BTreeMap<Rule, (u64, String)> {
         &self.broken
     }
 
     /// Takes what a stand-in saw: when, which stand-in, of which call, and what.
-    pub fn take(&mut self, at: Time, who: &str, sid: &str, what: &What) {
+    pub fn record(&mut self, at: Time, who: &str, sid: &str, what: &EventKind) {
         match what {
-            What::News(news, later) => {
+            EventKind::News(news, later) => {
                 let later = Span(u64::try_from(later.as_micros()).unwrap_or(u64::MAX));
                 self.news.insert(who.to_owned(), (*news, at.plus(later)));
             }
-            What::Tipped => self.breaks(Rule::Cold, who, "a cold call server fell over"),
-            What::Died => self.died(at, who),
+            EventKind::Tipped => self.breaks(Rule::Cold, who, "a cold call server fell over"),
+            EventKind::Died => self.died(at, who),
             _ if sid.is_empty() => {}
-            What::Asked(ask) => {
+            EventKind::Asked(ask) => {
                 self.counts.asked += 1;
                 let ask = Some(ask.clone());
                 self.calls.insert(sid.to_owned(), Call { asked: at, ask, last: at, ..Call::default() });
@@ -128,9 +128,9 @@
         }
     }
 
-    fn of_call(&mut self, at: Time, who: &str, sid: &str, what: &What) {
+    fn of_call(&mut self, at: Time, who: &str, sid: &str, what: &EventKind) {
         let Some(mut call) = self.calls.remove(sid) else {
-            if matches!(what, What::SetUp(..)) {
+            if matches!(what, EventKind::SetUp(..)) {
                 self.breaks(Rule::Unchanged, sid, "a set-up that nobody asked for");
             }
             return;
@@ -140,26 +140,27 @@
         self.calls.insert(sid.to_owned(), call);
     }
 
-    fn step(&mut self, at: Time, who: &str, sid: &str, what: &What, call: &mut Call) {
+    fn step(&mut self, at: Time, who: &str, sid: &str, what: &EventKind, call: &mut Call) {
         match what {
-            What::SetUp(class, number, text) => self.set_up(at, who, sid, (class, number, text), call),
-            What::Answered(text) => call.answers.push(text.clone()),
-            What::Refused if call.out.as_deref() == Some(who) => call.out = None,
+            EventKind::SetUp(class, number, text) => self.set_up(at, who, sid, (class, number, text), call),
+            EventKind::Answered(text) => call.answers.push(text.clone()),
+            EventKind::Refused if call.out.as_deref() == Some(who) => call.out = None,
             // What call servers say of attempts that were given up before is no matter of the caller's any more.
-            What::Cancel | What::Bye(_) | What::Released if call.out.as_deref() != Some(who) => {}
+            EventKind::Cancel | EventKind::Bye(_) | EventKind::Released
+                if call.out.as_deref() != Some(who) => {}
             // A BYE here ends what was answered too late, or never reached the controller.
-            What::Cancel | What::Bye(_) if !matches!(call.first, Some((_, Final::Stands))) => {
+            EventKind::Cancel | EventKind::Bye(_) if !matches!(call.first, Some((_, Final::Stands))) => {
                 call.out = None;
                 call.quiet_until = at.plus(QUIET);
             }
-            What::Cancel | What::Bye(_) | What::Released => {
+            EventKind::Cancel | EventKind::Bye(_) | EventKind::Released => {
                 call.out = None;
                 self.over(at, RELEASE_WITHIN, call);
             }
-            What::GaveUp => call.gave_up = true,
-            What::HungUp => call.hung_up = true,
-            What::Ready(text) => self.final_one(at, sid, Final::Stands, Some(text), call),
-            What::Close(..) => match call.first {
+            EventKind::GaveUp => call.gave_up = true,
+            EventKind::HungUp => call.hung_up = true,
+            EventKind::Ready(text) => self.final_one(at, sid, Final::Stands, Some(text), call),
+            EventKind::Close(..) => match call.first {
                 Some((_, Final::Stands)) => {
                     self.counts.released += u64::from(call.told.is_none());
                     call.told.get_or_insert(at);
@@ -193,7 +194,7 @@
         }
         match self.news.get(who) {
             None => self.breaks(Rule::Drain, sid, &format!("sent to {who}, which is not listed")),
-            Some((News::Ready, _)) => {}
+            Some((ListedState::Ready, _)) => {}
             Some((_, told)) => {
                 let late = at.since(told.plus(DRAINS_WITHIN).plus(SLACK));
                 if late > Span::default() {
@@ -302,59 +303,63 @@
     use std::time::Duration;
 
     /// A good call, with one thing put in or left out by each case below.
-    fn script() -> Vec<(u64, &'static str, What)> {
+    fn script() -> Vec<(u64, &'static str, EventKind)> {
         let ask = Ask { class: "c".into(), number: "n".into(), text: "t".into(), left_ms: 2_000 };
         vec![
-            (0, "s0", What::News(News::Ready, Duration::ZERO)),
-            (0, "s1", What::News(News::Ready, Duration::ZERO)),
-            (10, "caller", What::Asked(Rc::new(ask))),
-            (20, "s0", What::SetUp("c".into(), "n".into(), "t".into())),
-            (400, "s0", What::Cancel),
-            (901, "s1", What::SetUp("c".into(), "n".into(), "t".into())),
-            (950, "s1", What::Answered("a".into())),
-            (960, "caller", What::Ready("a".into())),
-            (3_000, "s1", What::Released),
-            (3_010, "caller", What::Close(16, None)),
+            (0, "s0", EventKind::News(ListedState::Ready, Duration::ZERO)),
+            (0, "s1", EventKind::News(ListedState::Ready, Duration::ZERO)),
+            (10, "caller", EventKind::Asked(Rc::new(ask))),
+            (20, "s0", EventKind::SetUp("c".into(), "n".into(), "t".into())),
+            (400, "s0", EventKind::Cancel),
+            (901, "s1", EventKind::SetUp("c".into(), "n".into(), "t".into())),
+            (950, "s1", EventKind::Answered("a".into())),
+            (960, "caller", EventKind::Ready("a".into())),
+            (3_000, "s1", EventKind::Released),
+            (3_010, "caller", EventKind::Close(16, None)),
         ]
     }
 
-    fn verdict(script: &[(u64, &'static str, What)]) -> Vec<Rule> {
+    fn verdict(script: &[(u64, &'static str, EventKind)]) -> Vec<Rule> {
         let mut audit = Audit::default();
         for (ms, who, what) in script {
-            let sid = if matches!(what, What::News(..) | What::Died | What::Tipped) { "" } else { "1" };
-            audit.take(Time(1_000_000 + ms * 1000), who, sid, what);
+            let sid = if matches!(what, EventKind::News(..) | EventKind::Died | EventKind::Tipped) {
+                ""
+            } else {
+                "1"
+            };
+            audit.record(Time(1_000_000 + ms * 1000), who, sid, what);
         }
         audit.finish(Time(60_000_000));
-        audit.broken().keys().copied().collect()
+        audit.violations().keys().copied().collect()
     }
 
     #[test]
     fn each_fault_breaks_its_rule_and_a_good_call_none() {
         assert_eq!(verdict(&script()), []);
-        type Spoil = fn(&mut Vec<(u64, &'static str, What)>);
+        type Spoil = fn(&mut Vec<(u64, &'static str, EventKind)>);
         let cases: &[(Rule, Spoil)] = &[
             (Rule::OneAnswer, |s| drop(s.drain(7..))),
             (Rule::OneAnswer, |s| s[7].0 = 2_100),
-            (Rule::OneAnswer, |s| s.insert(8, (970, "caller", What::Ready("a".into())))),
+            (Rule::OneAnswer, |s| s.insert(8, (970, "caller", EventKind::Ready("a".into())))),
             (Rule::OneAttempt, |s| drop(s.remove(4))),
             (Rule::OneAttempt, |s| s[5].0 = 800),
             (Rule::OneAttempt, |s| {
                 for n in 0..5 {
-                    let sent = What::SetUp("c".into(), "n".into(), "t".into());
-                    s.insert(3, (19, "s0", What::Refused));
+                    let sent = EventKind::SetUp("c".into(), "n".into(), "t".into());
+                    s.insert(3, (19, "s0", EventKind::Refused));
                     s.insert(3, (19 - n, "s0", sent));
                 }
             }),
-            (Rule::Drain, |s| s[1].2 = What::News(News::Draining, Duration::from_millis(590))),
+            (Rule::Drain, |s| s[1].2 = EventKind::News(ListedState::Draining, Duration::from_millis(590))),
             (Rule::Drain, |s| drop(s.remove(1))),
-            (Rule::Cold, |s| s.push((4_000, "s0", What::Tipped))),
+            (Rule::Cold, |s| s.push((4_000, "s0", EventKind::Tipped))),
             (Rule::Release, |s| drop(s.pop())),
             (Rule::Release, |s| s[9].0 = 4_100),
-            (Rule::Release, |s| s[8] = (3_000, "caller", What::HungUp)),
-            (Rule::Unchanged, |s| s[5].2 = What::SetUp("c".into(), "n".into(), "u".into())),
-            (Rule::Unchanged, |s| s[7].2 = What::Ready("b".into())),
+            (Rule::Release, |s| s[8] = (3_000, "caller", EventKind::HungUp)),
+            (Rule::Unchanged, |s| s[5].2 = EventKind::SetUp("c".into(), "n".into(), "u".into())),
+            (Rule::Unchanged, |s| s[7].2 = EventKind::Ready("b".into())),
             (Rule::Release, |s| {
-                s[8].2 = What::Died;
+                s[8].2 = EventKind::Died;
                 s[9].0 = 11_100;
             }),
         ];
@@ -369,12 +374,12 @@
     fn giving_up_a_draining_server_s_time_and_a_dead_one_s_calls_are_not_held_against_it() {
         let mut script = script();
         script.truncate(4);
-        script.push((300, "caller", What::GaveUp));
-        script.push((310, "s0", What::Cancel));
+        script.push((300, "caller", EventKind::GaveUp));
+        script.push((310, "s0", EventKind::Cancel));
         assert_eq!(verdict(&script), []);
         let mut script = self::script();
-        script[1].2 = What::News(News::Draining, Duration::from_millis(700));
-        script[8].2 = What::Died;
+        script[1].2 = EventKind::News(ListedState::Draining, Duration::from_millis(700));
+        script[8].2 = EventKind::Died;
         script[9].0 = 10_000;
         assert_eq!(verdict(&script), []);
     }
--- a/crates/lockpoint-lab/src/bench.rs
+++ b/crates/lockpoint-lab/src/bench.rs
@@ -13,13 +13,15 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::callers::{usual_ask, Caller};
+use crate::callers::{default_ask, Caller};
 use crate::experiment::Experiment;
-use crate::results::{at_share, latencies};
-use crate::run::{agent_file, any_port, Stage};
-use crate::sip::{Does, SipServer};
-use crate::under_test::{address, beside, start, used, Agent, Folder, LabError, Used};
-use crate::world::{now, sleep_until, time_of, Seen, What, World};
+use crate::results::{latency_histogram, quantile_ms};
+use crate::run::{agent_file, any_port, TestBed};
+use crate::sip::{ServerBehaviour, SipServer};
+use crate::under_test::{
+    address, resource_usage, sibling_program, spawn, Agent, LabError, ResourceUsage, TempDir,
+};
+use crate::world::{now, sleep_until, time_of, EventKind, EventLog, RecordedEvent};
 
 /// Callers in a closed loop: so many calls are asked for at any moment.
 const AT_ONCE: usize = 32;
@@ -58,7 +60,7 @@
 /// One caller's connection and what it has heard.
 struct Driver {
     caller: Caller,
-    seen: mpsc::UnboundedReceiver<Seen>,
+    seen: mpsc::UnboundedReceiver<RecordedEvent>,
     next: u64,
 }
 
@@ -70,7 +72,7 @@
 
     async fn ask(&mut self) -> Result<(), LabError> {
         let sid = self.sid();
-        let asked = self.caller.ask_in(0, &sid, 0, &usual_ask(LEFT_MS, "v=0 bench")).await;
+        let asked = self.caller.try_open(0, &sid, 0, &default_ask(LEFT_MS, "v=0 bench")).await;
         asked.map_err(|why| LabError::Socket { what: "the caller".to_owned(), why })
     }
 
@@ -79,12 +81,12 @@
         let wait = async {
             loop {
                 let seen = self.seen.recv().await?;
-                if let What::Ready(_) = seen.what {
+                if let EventKind::Ready(_) = seen.kind {
                     return Some((seen.sid, time_of(seen.at)));
                 }
             }
         };
-        let never = || LabError::Serves("a call was not answered".to_owned());
+        let never = || LabError::NotServing("a call was not answered".to_owned());
         tokio::time::timeout(Duration::from_micros(NEVER_AFTER.0), wait)
             .await
             .ok()
@@ -93,7 +95,7 @@
     }
 
     /// Set-ups a second of a core, with `AT_ONCE` asked for at any moment. Each call is ended when it stands.
-    async fn throughput(&mut self, seconds: f64, used: impl Fn() -> Used) -> Result<f64, LabError> {
+    async fn throughput(&mut self, seconds: f64, used: impl Fn() -> ResourceUsage) -> Result<f64, LabError> {
         for _ in 0..AT_ONCE {
             self.ask().await?;
         }
@@ -115,7 +117,7 @@
 
     /// From asking to the answer, at `PACE`.
     async fn latency(&mut self, seconds: f64) -> Result<Histogram<u64>, LabError> {
-        let mut histogram = latencies();
+        let mut histogram = latency_histogram();
         let (mut due, until) = (now(), now().plus(Span::from_secs(seconds)));
         while due < until {
             sleep_until(due).await;
@@ -130,7 +132,7 @@
     }
 
     /// Bytes of memory for each of so many calls that stand at once.
-    async fn bytes(&mut self, standing: usize, used: impl Fn() -> Used) -> Result<f64, LabError> {
+    async fn bytes(&mut self, standing: usize, used: impl Fn() -> ResourceUsage) -> Result<f64, LabError> {
         let before = used().memory;
         let mut asked = 0;
         for n in 0..standing {
@@ -143,7 +145,11 @@
         Ok(used().memory.saturating_sub(before) as f64 / standing as f64)
     }
 
-    async fn figures(&mut self, options: &Options, used: impl Fn() -> Used) -> Result<Figures, LabError> {
+    async fn figures(
+        &mut self,
+        options: &Options,
+        used: impl Fn() -> ResourceUsage,
+    ) -> Result<Figures, LabError> {
         let bytes = self.bytes(options.standing, &used).await?;
         let latency = self.latency(options.seconds).await?;
         let per_core = self.throughput(options.seconds, &used).await?;
@@ -151,57 +157,57 @@
     }
 }
 
-async fn driver(world: &World, at: SocketAddr) -> Result<Driver, LabError> {
-    let seen = world.tap();
+async fn driver(world: &EventLog, at: SocketAddr) -> Result<Driver, LabError> {
+    let seen = world.subscribe();
     let caller = Caller::try_connect(world, "bench", at).await;
     let caller = caller.map_err(|why| LabError::Socket { what: "the caller".to_owned(), why })?;
     Ok(Driver { caller, seen, next: 0 })
 }
 
-async fn server(world: &World) -> Rc<SipServer> {
-    SipServer::start(world, "s0", Does::Answer("v=0 answer".to_owned())).await
+async fn server(world: &EventLog) -> Rc<SipServer> {
+    SipServer::start(world, "s0", ServerBehaviour::Answer("v=0 answer".to_owned())).await
 }
 
 async fn of_relay(options: &Options) -> Result<Figures, LabError> {
-    let world = World::forgetful();
+    let world = EventLog::without_history();
     let server = server(&world).await;
     let free = std::net::TcpListener::bind(any_port()).and_then(|listener| listener.local_addr());
     let at = free.map_err(|why| LabError::Socket { what: "a port".to_owned(), why })?;
     let (listen, call) = (at.to_string(), server.at.to_string());
-    let program = beside("lockpoint-lab");
-    let child = start(&program, &["relay", "--listen", &listen, "--server", &call], true)?;
+    let program = sibling_program("lockpoint-lab");
+    let child = spawn(&program, &["relay", "--listen", &listen, "--server", &call], true)?;
     let pid = child.id().unwrap_or(0);
     let mut driver = loop {
         match driver(&world, at).await {
             Ok(driver) => break driver,
-            Err(_) if used(pid).memory > 0 => tokio::time::sleep(Duration::from_millis(10)).await,
+            Err(_) if resource_usage(pid).memory > 0 => tokio::time::sleep(Duration::from_millis(10)).await,
             Err(error) => return Err(error),
         }
     };
-    driver.figures(options, || used(pid)).await
+    driver.figures(options, || resource_usage(pid)).await
 }
 
 async fn of_controller(options: &Options) -> Result<Figures, LabError> {
-    let folder = Folder::new("bench")?;
+    let folder = TempDir::new("bench")?;
     let control = folder.path().join("control.sock");
     let text = "name = 'bench'\nseconds = 1\nload = 1\n[[server]]\nname = 's0'\nspeaks = 'sip'\n";
-    let experiment = Experiment::parse(text).map_err(LabError::Serves)?;
-    let mut stage = Stage::set(&experiment, any_port(), any_port()).await?;
+    let experiment = Experiment::parse(text).map_err(LabError::NotServing)?;
+    let mut stage = TestBed::start(&experiment, any_port(), any_port()).await?;
     // Not the model: a call server that answers at once, as the relay's does.
-    let world = World::forgetful();
+    let world = EventLog::without_history();
     let server = server(&world).await;
-    stage.bulletin.tell(true, vec![crate::bulletin::host("s0", server.at, 0, "ready")]);
+    stage.bulletin.publish(true, vec![crate::bulletin::list_entry("s0", server.at, 0, "ready")]);
     let config = folder.path().join("agent.toml");
     let file = agent_file(&experiment, &stage, &control, json!({"sockets": 1024, "memory_mb": 512}))?;
     std::fs::write(&config, file).map_err(|e| LabError::file(&config, e))?;
-    let program = options.program.clone().unwrap_or_else(|| beside("lockpoint"));
+    let program = options.program.clone().unwrap_or_else(|| sibling_program("lockpoint"));
     let mut agent = Agent::start(&program, &config, &control, true)?;
     let dial = server.at.to_string();
-    let held = agent.until(|i| i.state == "serving" && i.servers.iter().any(|s| s.dial == dial)).await?;
-    stage.forget();
+    let held = agent.wait_until(|i| i.state == "serving" && i.servers.iter().any(|s| s.dial == dial)).await?;
+    stage.stop_recording();
     let pid = agent.pid;
     let mut driver = driver(&world, address(&held[0].listen, "listen")?).await?;
-    let figures = driver.figures(options, || used(pid)).await;
+    let figures = driver.figures(options, || resource_usage(pid)).await;
     drop(driver);
     agent.kill().await;
     figures
@@ -233,13 +239,13 @@
         println!("| {name} | {:.3} | {:.3} | {ratio:.2} |", of(&relay), of(&controller));
     };
     row("set-ups a second of a core", &|f| f.per_core);
-    row("answer after, p50 ms", &|f| at_share(&f.latency, 0.5));
-    row("answer after, p99 ms", &|f| at_share(&f.latency, 0.99));
-    row("answer after, p99.9 ms", &|f| at_share(&f.latency, 0.999));
+    row("answer after, p50 ms", &|f| quantile_ms(&f.latency, 0.5));
+    row("answer after, p99 ms", &|f| quantile_ms(&f.latency, 0.99));
+    row("answer after, p99.9 ms", &|f| quantile_ms(&f.latency, 0.999));
     row("bytes of a call that stands", &|f| f.bytes);
     let added = |share| {
         let pairs = relay.iter().zip(&controller);
-        median(pairs.map(|(r, c)| at_share(&c.latency, share) - at_share(&r.latency, share)).collect())
+        median(pairs.map(|(r, c)| quantile_ms(&c.latency, share) - quantile_ms(&r.latency, share)).collect())
     };
     println!(
         "added by the controller: p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms",
--- a/crates/lockpoint-lab/src/bulletin.rs
+++ b/crates/lockpoint-lab/src/bulletin.rs
@@ -11,54 +11,54 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-use crate::sip::write_in;
-use crate::world::{What, World};
+use crate::sip::write_in_pieces;
+use crate::world::{EventKind, EventLog};
 
 /// How the bulletin spoils its next answer that tells something.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Break {
+pub enum ResponseFault {
     /// It ends half way.
-    Off,
+    Truncate,
     /// It stops half way and stays open.
     Stall,
     /// The same, with a byte now and then.
-    Dribble,
+    Trickle,
 }
 
 /// The bulletin: a list of call servers by HTTP long polls.
 pub struct Bulletin {
     /// Where it listens.
     pub at: SocketAddr,
-    world: World,
+    world: EventLog,
     events: RefCell<Vec<Value>>,
     more: Notify,
     /// How it spoils its next answer that tells something.
-    pub breaks: Cell<Option<Break>>,
+    pub response_fault: Cell<Option<ResponseFault>>,
     /// It writes in pieces of so many bytes; 0: whole.
     pub pieces: Cell<usize>,
 }
 
 /// A line of the list.
-pub fn host(name: &str, at: SocketAddr, cell: u16, health: &str) -> Value {
+pub fn list_entry(name: &str, at: SocketAddr, cell: u16, health: &str) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": "east", "class": "std", "block": cell, "health": health,
         "share": 1, "born_ms": 0, "new_field": [1]})
 }
 
 /// The line of a call server that has just started: it is cold.
-pub fn born_host(name: &str, at: SocketAddr, cell: u16, born_ms: u64) -> Value {
-    let mut line = host(name, at, cell, "ready");
+pub fn list_entry_started_at(name: &str, at: SocketAddr, cell: u16, born_ms: u64) -> Value {
+    let mut line = list_entry(name, at, cell, "ready");
     line["born_ms"] = json!(born_ms);
     line
 }
 
 impl Bulletin {
     /// Starts one on a port that the system picks.
-    pub async fn start(world: &World) -> Rc<Bulletin> {
+    pub async fn start(world: &EventLog) -> Rc<Bulletin> {
         Bulletin::start_at(world, SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a port")
     }
 
     /// Starts one at an address.
-    pub async fn start_at(world: &World, at: SocketAddr) -> std::io::Result<Rc<Bulletin>> {
+    pub async fn start_at(world: &EventLog, at: SocketAddr) -> std::io::Result<Rc<Bulletin>> {
         let listener = TcpListener::bind(at).await?;
         let at = listener.local_addr()?;
         let bulletin = Rc::new(Bulletin {
@@ -66,7 +66,7 @@
             world: world.clone(),
             events: RefCell::default(),
             more: Notify::new(),
-            breaks: Cell::new(None),
+            response_fault: Cell::new(None),
             pieces: Cell::new(0),
         });
         let serving = bulletin.clone();
@@ -79,17 +79,17 @@
     }
 
     /// Puts a list, or changes of it, on the bulletin.
-    pub fn tell(&self, whole: bool, hosts: Vec<Value>) {
+    pub fn publish(&self, whole: bool, hosts: Vec<Value>) {
         let no = self.events.borrow().len() + 1;
         let event = json!({"no": no, "roster": {"seq": no, "whole": whole, "hosts": hosts}});
-        self.world.note("bulletin", "", What::Told(event.to_string()));
+        self.world.record("bulletin", "", EventKind::Told(event.to_string()));
         self.events.borrow_mut().push(event);
         self.more.notify_waiters();
     }
 
     /// Puts an event on the bulletin that may be none.
-    pub fn tell_raw(&self, event: Value) {
-        self.world.note("bulletin", "", What::Told(event.to_string()));
+    pub fn publish_raw(&self, event: Value) {
+        self.world.record("bulletin", "", EventKind::Told(event.to_string()));
         self.events.borrow_mut().push(event);
         self.more.notify_waiters();
     }
@@ -121,14 +121,14 @@
             };
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             let tells = self.events.borrow().len() > after;
-            if let Some(how) = self.breaks.get().filter(|_| tells) {
-                self.breaks.set(None);
+            if let Some(how) = self.response_fault.get().filter(|_| tells) {
+                self.response_fault.set(None);
                 let half = &answer.as_bytes()[..answer.len() - 20];
                 let _ = writer.write_all(half).await;
                 match how {
-                    Break::Off => return,
-                    Break::Stall => std::future::pending().await,
-                    Break::Dribble => loop {
+                    ResponseFault::Truncate => return,
+                    ResponseFault::Stall => std::future::pending().await,
+                    ResponseFault::Trickle => loop {
                         tokio::time::sleep(Duration::from_millis(100)).await;
                         if writer.write_all(b" ").await.is_err() {
                             return;
@@ -136,7 +136,7 @@
                     },
                 }
             }
-            if write_in(self.pieces.get(), &mut writer, answer.as_bytes()).await.is_err() {
+            if write_in_pieces(self.pieces.get(), &mut writer, answer.as_bytes()).await.is_err() {
                 return;
             }
         }
--- a/crates/lockpoint-lab/src/demo.rs
+++ b/crates/lockpoint-lab/src/demo.rs
@@ -5,11 +5,11 @@
 
 use lockpoint::config::{from_file, ConfigError};
 
-use crate::experiment::{Burst, Experiment, ServerConfig, Speaks};
+use crate::experiment::{Burst, Experiment, ServerConfig, ServerProtocol};
 use crate::processor::ProcessorConfig;
 use crate::results::Outcome;
-use crate::run::{run_on, Show, Stage};
-use crate::under_test::{beside, Agent, LabError};
+use crate::run::{run_on, OutputOptions, TestBed};
+use crate::under_test::{sibling_program, Agent, LabError};
 
 /// Runs it: so many seconds at 80%, then as many at 120%.
 pub async fn run(config: &Path, seconds: f64) -> Result<Outcome, LabError> {
@@ -21,11 +21,11 @@
     let need = |key: &str| LabError::file(config, format!("instance '{}' has no '{key}'", first.name));
     let bulletin = first.bulletin.ok_or_else(|| need("bulletin"))?;
     let resolver = first.dns_sd.as_ref().ok_or_else(|| need("dns_sd"))?.resolver;
-    let server = |(n, speaks)| {
+    let server = |(n, protocol)| {
         let processor = ProcessorConfig { capacity: 40.0, ..ProcessorConfig::default() };
-        ServerConfig { name: format!("server{n}"), speaks, processor }
+        ServerConfig { name: format!("server{n}"), protocol, processor }
     };
-    let speaks = [Speaks::Sip, Speaks::Sip, Speaks::Iax2, Speaks::Iax2];
+    let speaks = [ServerProtocol::Sip, ServerProtocol::Sip, ServerProtocol::Iax2, ServerProtocol::Iax2];
     let experiment = Experiment {
         name: "demo: 80%, then 120%".to_owned(),
         seed: 1,
@@ -41,8 +41,8 @@
         flood: None,
         iax2: Default::default(),
     };
-    let stage = Stage::set(&experiment, bulletin, resolver).await?;
-    let agent = Agent::start(&beside("lockpoint"), config, &read.control, false)?;
+    let stage = TestBed::start(&experiment, bulletin, resolver).await?;
+    let agent = Agent::start(&sibling_program("lockpoint"), config, &read.control, false)?;
     println!("lockpoint agent --config {}: process {}", config.display(), agent.pid);
-    run_on(&experiment, stage, agent, &first.name, Show { live: true, trace: None }).await
+    run_on(&experiment, stage, agent, &first.name, OutputOptions { live: true, trace: None }).await
 }
--- a/crates/lockpoint-lab/src/experiment.rs
+++ b/crates/lockpoint-lab/src/experiment.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 #[allow(missing_docs)] // the names say it
-pub enum Speaks {
+pub enum ServerProtocol {
     Sip,
     Iax2,
 }
@@ -81,7 +81,8 @@
     /// Its name in the list.
     pub name: String,
     /// What it speaks; SIP ones are listed by the bulletin, IAX2 ones by DNS-SD.
-    pub speaks: Speaks,
+    #[serde(rename = "speaks")]
+    pub protocol: ServerProtocol,
     /// Its processor.
     #[serde(default)]
     pub processor: ProcessorConfig,
@@ -90,13 +91,14 @@
 /// What can go wrong with a call server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Trouble {
+pub enum FaultKind {
     /// It hears and says nothing.
     Silent,
     /// It works at a quarter of its speed.
     Slow,
     /// It answers with errors.
-    Errs,
+    #[serde(rename = "errs")]
+    Errors,
     /// The list says that it drains, then that it is ready again.
     Drain,
     /// Its process dies, and starts again, cold, at the end.
@@ -114,7 +116,8 @@
     /// Which call server.
     pub server: String,
     /// What goes wrong.
-    pub what: Trouble,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
 }
 
 /// A burst.
--- a/crates/lockpoint-lab/src/fleet/cold_budget/play.rs
+++ b/crates/lockpoint-lab/src/fleet/cold_budget/play.rs
@@ -13,8 +13,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::scenario::{Notice, Scenario};
-use crate::path::chance;
-use crate::processor::{Offer, Processor};
+use crate::path::random_fraction;
+use crate::processor::{Admission, Processor};
 
 /// How long a caller waits for a call to stand.
 const PATIENCE: Span = Span::from_millis(9_000);
@@ -145,8 +145,8 @@
     }
     let first = stop.plus(scenario.away).plus(scenario.restarts.begin);
     for controller in 0..scenario.weights.len() {
-        if chance(&mut run.rng) < scenario.restarts.share {
-            let at = first.plus(scenario.restarts.spread.scale(chance(&mut run.rng)));
+        if random_fraction(&mut run.rng) < scenario.restarts.share {
+            let at = first.plus(scenario.restarts.spread.scale(random_fraction(&mut run.rng)));
             run.book(at, Due::Restarts { controller });
         }
     }
@@ -289,9 +289,9 @@
     fn publish(&mut self, server: usize) {
         let entry = self.machines[server].entry;
         for to in 0..self.members.len() {
-            let mut late = self.scenario.list_late.scale(chance(&mut self.rng));
-            if chance(&mut self.rng) < self.scenario.very_late_share {
-                late = Span(late.0 + self.scenario.very_late.scale(chance(&mut self.rng)).0);
+            let mut late = self.scenario.list_late.scale(random_fraction(&mut self.rng));
+            if random_fraction(&mut self.rng) < self.scenario.very_late_share {
+                late = Span(late.0 + self.scenario.very_late.scale(random_fraction(&mut self.rng)).0);
             }
             self.book(self.now.plus(late), Due::List { to, server, entry });
         }
@@ -329,7 +329,7 @@
 
     /// Its state comes first of all on a new connection.
     fn connects(&mut self, to: Life, server: usize) {
-        let late = Span::from_secs(FIRST_STATE * chance(&mut self.rng));
+        let late = Span::from_secs(FIRST_STATE * random_fraction(&mut self.rng));
         self.book(self.now.plus(late), Due::State { to, server });
     }
 
@@ -442,23 +442,23 @@
     }
 
     fn way(&mut self) -> Span {
-        Span::from_secs(WAY.0 + (WAY.1 - WAY.0) * chance(&mut self.rng))
+        Span::from_secs(WAY.0 + (WAY.1 - WAY.0) * random_fraction(&mut self.rng))
     }
 
     // ---- Set-ups at a call server --------------------------------------------------------
 
     fn arrives(&mut self, from: Life, server: usize, call: CallId, attempt: Attempt, told: bool) {
         let (now, back) = (self.now, self.way());
-        let errs = chance(&mut self.rng) < self.scenario.errors;
+        let errs = random_fraction(&mut self.rng) < self.scenario.errors;
         let machine = &mut self.machines[server];
         let (at, answer) = if machine.down {
             (now, Answer::NotConnected)
         } else {
             match machine.processor.offer(now) {
-                Offer::Taken(at) if errs => (at, Answer::Error),
-                Offer::Taken(at) => (at, Answer::Stands),
-                Offer::TurnedAway(at, wait) => (at, Answer::Full(wait)),
-                Offer::Tipped => (now, Answer::NotConnected),
+                Admission::Accepted(at) if errs => (at, Answer::Error),
+                Admission::Accepted(at) => (at, Answer::Stands),
+                Admission::Rejected(at, wait) => (at, Answer::Full(wait)),
+                Admission::Crashed => (now, Answer::NotConnected),
             }
         };
         if !machine.down {
@@ -486,7 +486,7 @@
             machine.recent.pop_front();
         }
         let capacity = self.scenario.capacities[server];
-        let warmth = machine.processor.share(now);
+        let warmth = machine.processor.capacity_share(now);
         let budget = self.settings.overload_factor * capacity * warmth * window.secs();
         let bound = budget + 2.0 * budget.sqrt() + 2.0;
         let told = machine.recent.iter().filter(|(_, told)| *told).count();
@@ -507,13 +507,13 @@
         let burst = if troubled { self.scenario.burst } else { 1.0 };
         let gap: f64 = Exp1.sample(&mut self.rng);
         let at = self.now.plus(Span::from_secs(gap / (all * self.scenario.load * burst)));
-        let to_cold = troubled && chance(&mut self.rng) < self.scenario.drawn_to_cold;
+        let to_cold = troubled && random_fraction(&mut self.rng) < self.scenario.drawn_to_cold;
         let capacities = if to_cold {
             &self.scenario.capacities[..self.scenario.stopped]
         } else {
             &self.scenario.capacities[..]
         };
-        let mut left = chance(&mut self.rng) * capacities.iter().sum::<f64>();
+        let mut left = random_fraction(&mut self.rng) * capacities.iter().sum::<f64>();
         let cell = capacities.iter().position(|capacity| {
             left -= capacity;
             left < 0.0
@@ -524,7 +524,7 @@
 
     /// A caller comes to a controller drawn by its share of the traffic.
     fn asks(&mut self, caller: Caller) {
-        let drawn = chance(&mut self.rng) * self.sums.last().copied().unwrap_or_default();
+        let drawn = random_fraction(&mut self.rng) * self.sums.last().copied().unwrap_or_default();
         let to = self.sums.partition_point(|sum| *sum <= drawn).min(self.members.len() - 1);
         let member = &mut self.members[to];
         member.next_call += 1;
@@ -557,10 +557,10 @@
     /// A caller who got nothing calls again, if he does.
     fn redials(&mut self, caller: Caller, retry_after: Span) {
         let (redial, most) = self.scenario.redial;
-        if caller.redialled >= most || chance(&mut self.rng) >= redial {
+        if caller.redialled >= most || random_fraction(&mut self.rng) >= redial {
             return;
         }
-        let at = self.now.plus(retry_after).plus(Span::from_secs(chance(&mut self.rng)));
+        let at = self.now.plus(retry_after).plus(Span::from_secs(random_fraction(&mut self.rng)));
         self.book(at, Due::Asks(Caller { redialled: caller.redialled + 1, ..caller }));
     }
 }
--- a/crates/lockpoint-lab/src/fleet/cold_budget/scenario.rs
+++ b/crates/lockpoint-lab/src/fleet/cold_budget/scenario.rs
@@ -5,7 +5,7 @@
 use rand_distr::{Distribution, Exp1};
 use rand_pcg::Pcg64Mcg;
 
-use crate::path::chance;
+use crate::path::random_fraction;
 use crate::processor::ProcessorConfig;
 
 /// A call that stands within this is in time.
@@ -78,11 +78,11 @@
 
 /// A value between the two, evenly by its logarithm.
 fn between_log(rng: &mut Pcg64Mcg, least: f64, most: f64) -> f64 {
-    (least.ln() + (most.ln() - least.ln()) * chance(rng)).exp()
+    (least.ln() + (most.ln() - least.ln()) * random_fraction(rng)).exp()
 }
 
 fn between(rng: &mut Pcg64Mcg, least: f64, most: f64) -> f64 {
-    least + (most - least) * chance(rng)
+    least + (most - least) * random_fraction(rng)
 }
 
 fn span(rng: &mut Pcg64Mcg, least: f64, most: f64) -> Span {
@@ -91,7 +91,7 @@
 
 /// One of the values.
 fn one_of<T: Copy>(rng: &mut Pcg64Mcg, values: &[T]) -> T {
-    values[(chance(rng) * values.len() as f64) as usize]
+    values[(random_fraction(rng) * values.len() as f64) as usize]
 }
 
 impl Scenario {
@@ -117,7 +117,7 @@
             drawn_to_cold: one_of(rng, &[0.0, 0.0, 0.3, 1.0]),
             redial: one_of(rng, &[(0.0, 0), (0.5, 2), (0.9, 4)]),
             usual: span(rng, 4.0, 14.0),
-            stopped: 1 + (chance(rng) * most_stopped) as usize,
+            stopped: 1 + (random_fraction(rng) * most_stopped) as usize,
             away: span(rng, 0.2, 6.0),
             stagger: one_of(rng, &[Span::default(), Span::default(), Span::from_millis(700)]),
             notice: one_of(rng, &[Notice::GoneThenReady, Notice::GoneThenReady, Notice::RestartOnly]),
--- a/crates/lockpoint-lab/src/fleet/crash.rs
+++ b/crates/lockpoint-lab/src/fleet/crash.rs
@@ -18,14 +18,14 @@
 use serde_json::json;
 
 use super::processes::{settings, Processes};
-use crate::bulletin::{host, Bulletin};
+use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
-use crate::machine::Machine;
-use crate::path::chance;
+use crate::path::random_fraction;
 use crate::processor::ProcessorConfig;
-use crate::sip::{Does, SipServer};
-use crate::under_test::{beside, LabError};
-use crate::world::{What, World};
+use crate::server_model::ServerModel;
+use crate::sip::{ServerBehaviour, SipServer};
+use crate::under_test::{sibling_program, LabError};
+use crate::world::{EventKind, EventLog};
 
 /// How long calls stand in the mean.
 const HOLD_MS: u64 = 1_200;
@@ -124,7 +124,7 @@
 }
 
 struct Round {
-    world: World,
+    world: EventLog,
     servers: Vec<Rc<SipServer>>,
     fleet: Processes,
     callers: BTreeMap<u16, Caller>,
@@ -135,16 +135,17 @@
 
 impl Round {
     async fn set(program: &Path, controllers: u16, seed: u64) -> Result<Round, LabError> {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         let mut servers = Vec::new();
         for n in 0..3 {
             let config = ProcessorConfig { capacity: 120.0, ..ProcessorConfig::default() };
-            let machine = Machine::new(config, HOLD_MS, seed.wrapping_add(n));
-            servers.push(SipServer::start(&world, &format!("s{n}"), Does::Model(machine)).await);
+            let machine = ServerModel::new(config, HOLD_MS, seed.wrapping_add(n));
+            servers.push(SipServer::start(&world, &format!("s{n}"), ServerBehaviour::Model(machine)).await);
         }
-        let lines = servers.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
-        bulletin.tell(true, lines.collect());
+        let lines =
+            servers.iter().zip(0..).map(|(server, n)| list_entry(&server.name, server.at, n, "ready"));
+        bulletin.publish(true, lines.collect());
         let mut fleet = Processes::prepare(program, controllers, bulletin.at, &settings(), seed).await?;
         (fleet.shares, fleet.store) = (Some(json!({})), Some(json!({})));
         fleet.begin_all().await?;
@@ -159,7 +160,7 @@
     async fn connect(&mut self, me: u16) {
         let Some(at) = self.fleet.at(me) else { return };
         if let Ok(caller) = Caller::try_connect(&self.world, &format!("caller{me}"), at).await {
-            caller.confirm();
+            caller.confirm_releases();
             self.callers.insert(me, caller);
         }
     }
@@ -181,7 +182,7 @@
                 let sid = Sid::from_number(0x10_0000 + self.asked).to_string();
                 let line = json!({"msg": "open", "sid": sid, "attrs": {"class": "judge-call", "left": "5000",
                     "key": "7f3a9c21e0b4d655", "extras": format!("dest:{}", self.asked % 3)}, "text": "v=0\r\n"});
-                let _ = caller.try_say(0, format!("{line}\n").as_bytes()).await;
+                let _ = caller.try_send(0, format!("{line}\n").as_bytes()).await;
             }
             tokio::time::sleep(every).await;
         }
@@ -211,7 +212,7 @@
     let all = who.len() == usize::from(controllers);
     let stood_when_lost = round.servers.iter().map(|s| standing(s)).sum();
     if kind == Kind::AllAndACallServer {
-        round.servers[2].until_alone().await;
+        round.servers[2].wait_until_disconnected().await;
         round.servers[2].die();
     }
     if kind == Kind::AllAndLinksCut {
@@ -224,7 +225,7 @@
     let mut again = kind == Kind::AllAndAgainWhileComingBack;
     let mut first_start = None;
     while let Some(me) = order.pop() {
-        tokio::time::sleep(Duration::from_millis(300).mul_f64(chance(rng))).await;
+        tokio::time::sleep(Duration::from_millis(300).mul_f64(random_fraction(rng))).await;
         first_start.get_or_insert_with(Instant::now);
         round.fleet.begin(me).await?;
         if std::mem::take(&mut again) {
@@ -236,7 +237,7 @@
         round.connect(me).await;
     }
     let back = Instant::now();
-    let refused_before = round.world.count(|s| matches!(s.what, What::Close(42 | 34, _)));
+    let refused_before = round.world.count(|s| matches!(s.kind, EventKind::Close(42 | 34, _)));
     // Full service: each that came back has set a call up.
     let mut served: BTreeMap<u16, Instant> = BTreeMap::new();
     let end = back + Duration::from_secs(15);
@@ -244,8 +245,8 @@
         round.load(Duration::from_millis(50)).await;
         for me in &who {
             let name = format!("caller{me}");
-            let ready = round.world.all().into_iter().filter(|s| s.at > back && s.who == name);
-            let ready = ready.filter(|s| matches!(s.what, What::Ready(_))).map(|s| s.at).min();
+            let ready = round.world.events().into_iter().filter(|s| s.at > back && s.source == name);
+            let ready = ready.filter(|s| matches!(s.kind, EventKind::Ready(_))).map(|s| s.at).min();
             if let Some(at) = ready {
                 served.entry(*me).or_insert(at);
             }
@@ -253,7 +254,7 @@
     }
     round.fleet.mesh.links.borrow_mut().groups.clear();
     round.load(AFTER).await;
-    let refused = round.world.count(|s| matches!(s.what, What::Close(42 | 34, _))) - refused_before;
+    let refused = round.world.count(|s| matches!(s.kind, EventKind::Close(42 | 34, _))) - refused_before;
     // The last calls end. Callers stay in use: one that says nothing for 5 s loses its connection, and releases wait.
     round.load_every(EVERY * 20, Duration::from_millis(HOLD_MS * 6)).await;
     let mut broken = broken(&round.world, &round.losses, first_start.unwrap_or(lost), back, all);
@@ -262,7 +263,7 @@
     }
     let full = served.values().max().map_or(Duration::ZERO, |at| at.duration_since(back));
     let asked = usize::try_from(round.asked).unwrap_or(usize::MAX);
-    let stood = round.world.count(|s| matches!(s.what, What::Ready(_)));
+    let stood = round.world.count(|s| matches!(s.kind, EventKind::Ready(_)));
     round.fleet.stop().await;
     Ok(Row {
         seed,
@@ -278,8 +279,8 @@
 }
 
 fn standing(server: &SipServer) -> usize {
-    match &*server.does.borrow() {
-        Does::Model(machine) => machine.standing(),
+    match &*server.behaviour.borrow() {
+        ServerBehaviour::Model(machine) => machine.standing(),
         _ => 0,
     }
 }
@@ -299,7 +300,7 @@
 }
 
 /// The rules that were broken, each with its first case.
-fn broken(world: &World, losses: &[Instant], start: Instant, back: Instant, all: bool) -> Vec<String> {
+fn broken(world: &EventLog, losses: &[Instant], start: Instant, back: Instant, all: bool) -> Vec<String> {
     let Some(&lost) = losses.first() else { return vec!["nothing was lost".to_owned()] };
     let last_moment =
         |at: Instant| losses.iter().any(|lost| (*lost - LAST_MOMENT..*lost + LAST_MOMENT).contains(&at));
@@ -309,34 +310,37 @@
         let entry = found.entry(rule).or_insert_with(|| (0, sid.to_owned()));
         entry.0 += 1;
     };
-    for seen in world.all() {
-        if matches!(seen.what, What::Died) {
-            for story in calls.values_mut().filter(|c| c.at.as_deref() == Some(&seen.who) && c.over.is_none())
+    for seen in world.events() {
+        if matches!(seen.kind, EventKind::Died) {
+            for story in
+                calls.values_mut().filter(|c| c.at.as_deref() == Some(&seen.source) && c.over.is_none())
             {
                 story.over = Some(seen.at);
             }
         }
-        if matches!(seen.what, What::Tipped) {
-            fault("a cold call server fell over", &seen.who);
+        if matches!(seen.kind, EventKind::Tipped) {
+            fault("a cold call server fell over", &seen.source);
         }
         if seen.sid.is_empty() {
             continue;
         }
         let story = calls.entry(seen.sid.clone()).or_default();
-        match &seen.what {
-            What::SetUp(..) => {
+        match &seen.kind {
+            EventKind::SetUp(..) => {
                 if all && seen.at > lost && seen.at < start + QUIET {
                     fault("a set-up left within 500 ms of a life before", &seen.sid);
                 }
                 story.out += 1;
                 story.most_out = story.most_out.max(story.out);
-                story.at = Some(seen.who.clone());
+                story.at = Some(seen.source.clone());
             }
-            What::Answered(_) | What::Refused | What::Cancel => story.out = story.out.saturating_sub(1),
-            What::Ready(_) => (story.stood, story.answers) = (true, story.answers + 1),
-            What::Close(..) if story.stood => story.releases.push(seen.at),
-            What::Close(..) => story.answers += 1,
-            What::Released => story.over = Some(seen.at),
+            EventKind::Answered(_) | EventKind::Refused | EventKind::Cancel => {
+                story.out = story.out.saturating_sub(1)
+            }
+            EventKind::Ready(_) => (story.stood, story.answers) = (true, story.answers + 1),
+            EventKind::Close(..) if story.stood => story.releases.push(seen.at),
+            EventKind::Close(..) => story.answers += 1,
+            EventKind::Released => story.over = Some(seen.at),
             _ => {}
         }
     }
@@ -382,7 +386,7 @@
 }
 
 async fn fleet(options: &Options) -> Result<bool, LabError> {
-    let program = options.program.clone().unwrap_or_else(|| beside("lockpoint"));
+    let program = options.program.clone().unwrap_or_else(|| sibling_program("lockpoint"));
     println!("seeds from {}, {} rounds", options.seed, options.rounds);
     println!(
         "{:>5} {:>26} {:>11} {:>6} {:>6} {:>10} {:>10} {:>8}  broken",
@@ -421,7 +425,7 @@
 
 /// The way back of one, half and all controllers, each with so many calls standing; then what the records cost.
 async fn way_back(options: &Return) -> Result<(), LabError> {
-    let program = options.program.clone().unwrap_or_else(|| beside("lockpoint"));
+    let program = options.program.clone().unwrap_or_else(|| sibling_program("lockpoint"));
     println!(
         "{:>9} {:>9} {:>12} {:>14} {:>18} {:>8}",
         "standing", "lost", "serves, ms", "first call, ms", "all taken, ms", "refused"
@@ -444,7 +448,8 @@
                 round.connect(*me).await;
             }
             let asked_from = round.asked;
-            let refused = |round: &Round| round.world.count(|s| matches!(s.what, What::Close(42 | 34, _)));
+            let refused =
+                |round: &Round| round.world.count(|s| matches!(s.kind, EventKind::Close(42 | 34, _)));
             let refused_from = refused(&round);
             let (mut first, mut all) = (None, None);
             let end = start + Duration::from_secs(30);
@@ -453,9 +458,9 @@
                 round.load(Duration::from_millis(100)).await;
                 let name = |s: &str| who.iter().any(|me| s == format!("caller{me}"));
                 if first.is_none() {
-                    let ready = round.world.all().into_iter();
-                    let ready =
-                        ready.filter(|s| s.at > start && name(&s.who) && matches!(s.what, What::Ready(_)));
+                    let ready = round.world.events().into_iter();
+                    let ready = ready
+                        .filter(|s| s.at > start && name(&s.source) && matches!(s.kind, EventKind::Ready(_)));
                     first = ready.map(|s| s.at).min();
                 }
                 // A tenth of a second in which everything that was asked for was taken.
--- a/crates/lockpoint-lab/src/fleet/driven.rs
+++ b/crates/lockpoint-lab/src/fleet/driven.rs
@@ -20,9 +20,9 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::sim::Links;
-use crate::load::{CallersConfig, Load, Wanted};
-use crate::path::chance;
-use crate::processor::{Offer, Processor, ProcessorConfig};
+use crate::load::{CallerPlan, CallersConfig, Load};
+use crate::path::random_fraction;
+use crate::processor::{Admission, Processor, ProcessorConfig};
 
 /// How long a caller waits for a call to stand.
 const PATIENCE: Span = Span::from_millis(9_000);
@@ -94,7 +94,7 @@
 }
 
 enum Then {
-    Asks(Wanted),
+    Asks(CallerPlan),
     GivesUp(u16, u64),
     Says(u16, u16, Sid, ServerEvent),
     Ends(u16, u16, Sid),
@@ -139,7 +139,7 @@
     booked: u64,
     deadlines: BTreeSet<(Time, u16)>,
     deadline: Vec<Option<Time>>,
-    asked: BTreeMap<Sid, (u16, Wanted)>,
+    asked: BTreeMap<Sid, (u16, CallerPlan)>,
     /// Controllers that hear no list any more.
     deaf: BTreeSet<u16>,
     rng: Pcg64Mcg,
@@ -329,7 +329,7 @@
     fn tell(&mut self, server: u16) {
         let line = self.machines[usize::from(server)].line.clone();
         for me in 0..self.config.controllers {
-            let late = self.config.list_late.scale(chance(&mut self.rng));
+            let late = self.config.list_late.scale(random_fraction(&mut self.rng));
             self.book(self.now.plus(late), Then::List(me, vec![line.clone()]));
         }
     }
@@ -429,7 +429,7 @@
         self.input(me, Input::List { source: Source::Bulletin, whole, hosts });
     }
 
-    fn ask(&mut self, wanted: Wanted) {
+    fn ask(&mut self, wanted: CallerPlan) {
         let me = if wanted.redialled == 0 {
             self.tally.asked += 1;
             let rate = self.rate();
@@ -439,11 +439,11 @@
         } else {
             self.draw()
         };
-        if let Some(after) = wanted.gives_up {
-            self.book(self.now.plus(after), Then::GivesUp(me, wanted.no));
+        if let Some(after) = wanted.gives_up_after {
+            self.book(self.now.plus(after), Then::GivesUp(me, wanted.number));
         }
         let (class, number): (Rc<str>, Rc<str>) = ("judge-call".into(), "7f".into());
-        let sid = Sid::from_number(wanted.no);
+        let sid = Sid::from_number(wanted.number);
         let (body, dest, redialled): (Rc<str>, _, _) =
             ("x".into(), Some(Cell(wanted.dest)), wanted.redialled > 0);
         self.asked.insert(sid, (me, wanted));
@@ -456,10 +456,10 @@
     /// The controller that a caller comes to.
     fn draw(&mut self) -> u16 {
         let (first, all) = (self.config.first, self.config.controllers);
-        if all == 1 || chance(&mut self.rng) < first {
+        if all == 1 || random_fraction(&mut self.rng) < first {
             return 0;
         }
-        let even = (chance(&mut self.rng) * f64::from(all)) as u16;
+        let even = (random_fraction(&mut self.rng) * f64::from(all)) as u16;
         even.min(all - 1)
     }
 
@@ -532,18 +532,18 @@
         }
         let too_late = machine.drains.is_some_and(|told| now.since(told) > Span::from_millis(250));
         self.tally.after_drain += u64::from(too_late);
-        let cold = machine.processor.share(now) < 1.0;
+        let cold = machine.processor.capacity_share(now) < 1.0;
         self.tally.to_cold += u64::from(cold);
         let offer = machine.processor.offer(now);
         if cold {
-            self.tally.most_to_cold = self.tally.most_to_cold.max(machine.processor.pressure(now));
+            self.tally.most_to_cold = self.tally.most_to_cold.max(machine.processor.overload_share(now));
         }
         let (at, says) = match offer {
-            Offer::Taken(at) => (at, ServerEvent::Answered("y".into())),
-            Offer::TurnedAway(at, wait) => {
+            Admission::Accepted(at) => (at, ServerEvent::Answered("y".into())),
+            Admission::Rejected(at, wait) => {
                 (at, ServerEvent::Refused(Refusal::Full, Cause::ProcessorFullFor(wait), Vec::new()))
             }
-            Offer::Tipped => {
+            Admission::Crashed => {
                 machine.down = true;
                 self.tally.fell += 1;
                 (now.plus(Span::from_millis(2)), not_there)
--- a/crates/lockpoint-lab/src/fleet/limits.rs
+++ b/crates/lockpoint-lab/src/fleet/limits.rs
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 use super::sim::{staleness, Links, Sim};
-use crate::under_test::{beside, LabError};
+use crate::under_test::{sibling_program, LabError};
 
 /// Call servers observed all the time, besides the one that a fault concerns.
 const BACKGROUND_SERVERS: u32 = 10;
@@ -190,7 +190,7 @@
 /// Runs all faults; prints and writes a table, writes a chart, and prints how many passed. `true`: none failed.
 pub async fn run(options: &Options) -> Result<bool, LabError> {
     if !options.processes.is_empty() {
-        let program = beside("lockpoint");
+        let program = sibling_program("lockpoint");
         let (passed, failed) = super::real::run(&program, &options.processes, 20, options.seed).await?;
         println!("{passed} passed, {failed} failed");
         return Ok(failed == 0);
--- a/crates/lockpoint-lab/src/fleet/processes.rs
+++ b/crates/lockpoint-lab/src/fleet/processes.rs
@@ -13,7 +13,7 @@
 
 use super::mesh::Mesh;
 use super::sim::Links;
-use crate::under_test::{address, Agent, Folder, LabError, Used};
+use crate::under_test::{address, Agent, LabError, ResourceUsage, TempDir};
 
 /// Longest wait for a condition.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -67,13 +67,13 @@
         let text = toml::to_string(&file).map_err(|e| LabError::file(&config, e))?;
         std::fs::write(&config, text).map_err(|e| LabError::file(&config, e))?;
         let mut agent = Agent::start(program, &config, &control, true)?;
-        let status = agent.until(|i| i.state == "serving" && !i.servers.is_empty()).await?;
+        let status = agent.wait_until(|i| i.state == "serving" && !i.servers.is_empty()).await?;
         let at = address(&status.first().and_then(|i| i.listen.clone()), "listen")?;
         Ok(Process { agent, control, at })
     }
 
     /// What its process has used.
-    pub fn used(&self) -> Used {
+    pub fn used(&self) -> ResourceUsage {
         self.agent.used()
     }
 
@@ -102,7 +102,7 @@
 pub struct Processes {
     /// The links between them.
     pub mesh: Rc<Mesh>,
-    folder: Folder,
+    folder: TempDir,
     program: PathBuf,
     controllers: u16,
     bulletin: SocketAddr,
@@ -145,7 +145,7 @@
         settings["balancers"] = json!(controllers);
         Ok(Processes {
             mesh: Mesh::new(controllers, seed, Links::default()).await?,
-            folder: Folder::new(&format!("fleet-{}-{seed}", bulletin.port()))?,
+            folder: TempDir::new(&format!("fleet-{}-{seed}", bulletin.port()))?,
             program: program.to_owned(),
             controllers,
             bulletin,
@@ -216,8 +216,8 @@
     pub fn stall(&self, me: u16, stalls: bool) -> Result<(), LabError> {
         let signal = if stalls { Signal::STOP } else { Signal::CONT };
         let process = self.each.get(&me).and_then(|p| Pid::from_raw(i32::try_from(p.agent.pid).ok()?));
-        let Some(pid) = process else { return Err(LabError::Serves(format!("c{me} does not run"))) };
-        kill_process(pid, signal).map_err(|why| LabError::Serves(format!("c{me}: {why}")))
+        let Some(pid) = process else { return Err(LabError::NotServing(format!("c{me} does not run"))) };
+        kill_process(pid, signal).map_err(|why| LabError::NotServing(format!("c{me}: {why}")))
     }
 
     /// Ends all of them in order. `true`: each ended so.
--- a/crates/lockpoint-lab/src/fleet/real.rs
+++ b/crates/lockpoint-lab/src/fleet/real.rs
@@ -11,11 +11,11 @@
 
 use super::mesh::Watch;
 use super::processes::{settings, Processes};
-use crate::bulletin::{host, Bulletin};
+use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
-use crate::sip::{Does, SipServer};
+use crate::sip::{ServerBehaviour, SipServer};
 use crate::under_test::LabError;
-use crate::world::{What, World};
+use crate::world::{EventKind, EventLog};
 
 /// A peer that has not received the observation by then is counted as never.
 const LIMIT: Duration = Duration::from_secs(5);
@@ -34,17 +34,19 @@
     );
     let (mut passed, mut failed) = (0, 0);
     for &controllers in sizes {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         // One that answers, and one more for each refusal: a call server not observed before is news to all.
         let losses = [0.0, 0.1, 0.3];
         let servers = 1 + refusals * losses.len() as u16;
         let mut all = Vec::new();
         for n in 0..servers {
-            all.push(SipServer::start(&world, &format!("s{n}"), Does::Answer("v=0\r\n".into())).await);
+            all.push(
+                SipServer::start(&world, &format!("s{n}"), ServerBehaviour::Answer("v=0\r\n".into())).await,
+            );
         }
-        let lines = all.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
-        bulletin.tell(true, lines.collect());
+        let lines = all.iter().zip(0..).map(|(server, n)| list_entry(&server.name, server.at, n, "ready"));
+        bulletin.publish(true, lines.collect());
         let shares = Some(json!({}));
         let fleet = Processes::start(program, controllers, bulletin.at, &settings(), shares, seed).await?;
         let mut no = 0;
@@ -58,14 +60,16 @@
                 *fleet.mesh.watch.borrow_mut() =
                     Some(Watch { key, origin: me, received_at: BTreeMap::new() });
                 let full = "P-Reason: queue_long\r\nP-Line-Ms: 3000\r\n";
-                *all[usize::from(no)].does.borrow_mut() = Does::Refuse(503, full.into());
-                let at = fleet.at(me).ok_or_else(|| LabError::Serves(format!("c{me} does not run")))?;
+                *all[usize::from(no)].behaviour.borrow_mut() = ServerBehaviour::Refuse(503, full.into());
+                let at = fleet.at(me).ok_or_else(|| LabError::NotServing(format!("c{me} does not run")))?;
                 let caller = Caller::connect(&world, "caller", at).await;
                 let sid = Sid::from_number(0x5000 + u64::from(no)).to_string();
                 caller.open(&sid, 5_000, no, "v=0\r\n").await;
                 let name = format!("s{no}");
-                let refused =
-                    world.until("it refuses", |s| s.who == name && s.what == What::Refused).await.at;
+                let refused = world
+                    .wait_for("it refuses", |s| s.source == name && s.kind == EventKind::Refused)
+                    .await
+                    .at;
                 let received = || fleet.mesh.watch.borrow().as_ref().map_or(0, |w| w.received_at.len());
                 let end = Instant::now() + LIMIT;
                 while received() < usize::from(controllers) - 1 && Instant::now() < end {
--- a/crates/lockpoint-lab/src/fleet/sim.rs
+++ b/crates/lockpoint-lab/src/fleet/sim.rs
@@ -9,7 +9,7 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::path::chance;
+use crate::path::random_fraction;
 
 /// Faults and latency of the links between controllers.
 #[derive(Debug, Clone, PartialEq)]
@@ -42,12 +42,14 @@
     /// The latency of each copy of a datagram; empty if it is lost.
     pub fn fate(&self, from: u16, to: u16, rng: &mut Pcg64Mcg) -> Vec<Span> {
         let group = |no: u16| self.groups.get(usize::from(no)).copied().unwrap_or(0);
-        if group(from) != group(to) || self.cut.contains(&(from, to)) || chance(rng) < self.loss {
+        if group(from) != group(to) || self.cut.contains(&(from, to)) || random_fraction(rng) < self.loss {
             return Vec::new();
         }
-        let copies = 1 + usize::from(chance(rng) < self.twice);
+        let copies = 1 + usize::from(random_fraction(rng) < self.twice);
         let (least, most) = self.latency;
-        (0..copies).map(|_| Span(least.0 + most.saturating_sub(least).scale(chance(rng)).0)).collect()
+        (0..copies)
+            .map(|_| Span(least.0 + most.saturating_sub(least).scale(random_fraction(rng)).0))
+            .collect()
     }
 }
 
--- a/crates/lockpoint-lab/src/flood.rs
+++ b/crates/lockpoint-lab/src/flood.rs
@@ -23,13 +23,13 @@
     pub rate: f64,
     /// What they bear for a call token.
     #[serde(default)]
-    pub token: Shows,
+    pub token: CallToken,
 }
 
 /// What a forged NEW bears for a call token.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Shows {
+pub enum CallToken {
     /// No such element.
     None,
     /// It asks for one.
@@ -47,15 +47,15 @@
     thread: Option<JoinHandle<()>>,
 }
 
-fn new(n: u64, shows: Shows) -> Vec<u8> {
+fn new(n: u64, shows: CallToken) -> Vec<u8> {
     let elements = Elements::default()
         .with(ie::VERSION, &[0, 2])
         .with(ie::CALLED_NUMBER, b"7f3a9c21e0b4d655")
         .with(ie::CALLED_CONTEXT, b"judge-call");
     let elements = match shows {
-        Shows::None => elements,
-        Shows::Empty => elements.with(ie::CALLTOKEN, &[]),
-        Shows::Forged => elements.with(ie::CALLTOKEN, &[7; 24]),
+        CallToken::None => elements,
+        CallToken::Empty => elements.with(ie::CALLTOKEN, &[]),
+        CallToken::Forged => elements.with(ie::CALLTOKEN, &[7; 24]),
     };
     let source = (n / u64::from(PLACES) % u64::from(MAX_CALL_NUMBER)) as u16 + 1;
     let (kind, data, timestamp) = (Kind::Iax(Iax::New), Vec::new(), n as u32);
--- a/crates/lockpoint-lab/src/iax2.rs
+++ b/crates/lockpoint-lab/src/iax2.rs
@@ -19,11 +19,11 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-use crate::callers::usual_ask;
-use crate::machine::Says;
+use crate::callers::default_ask;
 use crate::path::{Path, PathConfig};
-use crate::sip::{answer_to, Does};
-use crate::world::{now, sleep_until, Ask, What, World};
+use crate::server_model::ModelEvent;
+use crate::sip::{model_answer, ServerBehaviour};
+use crate::world::{now, sleep_until, Ask, EventKind, EventLog};
 
 /// What a leg is for that registers.
 const REGISTRATION: &str = "registration";
@@ -82,7 +82,7 @@
 
     fn put(&self, inwards: bool, peer: SocketAddr, bytes: &[u8]) {
         let (inside, outside) = &mut *self.path.borrow_mut();
-        let fates = if inwards { inside.fate() } else { outside.fate() };
+        let fates = if inwards { inside.delivery_delays() } else { outside.delivery_delays() };
         if !fates.is_empty() && !inwards {
             if let Ok(Datagram::Full(Frame { source, kind: Kind::Iax(Iax::Hangup), .. })) = parse(bytes) {
                 self.hung_up.borrow_mut().insert(source);
@@ -222,17 +222,17 @@
     /// Where it listens.
     pub at: SocketAddr,
     /// What it does with a set-up.
-    pub does: RefCell<Does>,
+    pub behaviour: RefCell<ServerBehaviour>,
     /// It hears and says nothing.
     pub silent: Cell<bool>,
     /// Whom it lets in.
-    pub door: RefCell<Door>,
+    pub token_check: RefCell<Door>,
     /// Asks the controller who it is, where it is set.
-    pub examiner: RefCell<Option<Authenticator>>,
+    pub authenticator: RefCell<Option<Authenticator>>,
     asked: RefCell<BTreeMap<u16, IssuedChallenge>>,
     account: RefCell<Option<Account>>,
     registers: RefCell<BTreeMap<u16, Iax>>,
-    world: World,
+    world: EventLog,
     wire: Wire,
     stands: RefCell<BTreeSet<String>>,
     calls: RefCell<BTreeMap<(SocketAddr, u16), String>>,
@@ -246,15 +246,15 @@
 
 impl IaxServer {
     /// Starts one on a port that the system picks, on a path that does nothing.
-    pub async fn start(world: &World, name: &str, does: Does) -> Rc<IaxServer> {
-        IaxServer::start_behind(world, name, does, PathConfig::default(), 1).await
+    pub async fn start(world: &EventLog, name: &str, does: ServerBehaviour) -> Rc<IaxServer> {
+        IaxServer::start_on_path(world, name, does, PathConfig::default(), 1).await
     }
 
     /// The same behind a path.
-    pub async fn start_behind(
-        world: &World,
+    pub async fn start_on_path(
+        world: &EventLog,
         name: &str,
-        does: Does,
+        does: ServerBehaviour,
         path: PathConfig,
         seed: u64,
     ) -> Rc<IaxServer> {
@@ -262,10 +262,10 @@
         let server = Rc::new(IaxServer {
             name: name.to_owned(),
             at: wire.socket.local_addr().expect("an address"),
-            does: RefCell::new(does),
+            behaviour: RefCell::new(does),
             silent: Cell::new(false),
-            door: RefCell::new(Door::new(TokenPolicy::Off, [5; 32])),
-            examiner: RefCell::default(),
+            token_check: RefCell::new(Door::new(TokenPolicy::Off, [5; 32])),
+            authenticator: RefCell::default(),
             asked: RefCell::default(),
             account: RefCell::default(),
             registers: RefCell::default(),
@@ -291,7 +291,8 @@
     }
 
     fn mute(&self) -> bool {
-        self.silent.get() || matches!(&*self.does.borrow(), Does::Model(machine) if machine.silent())
+        self.silent.get()
+            || matches!(&*self.behaviour.borrow(), ServerBehaviour::Model(machine) if machine.silent())
     }
 
     /// The controller has sent a frame.
@@ -309,15 +310,15 @@
         let Some(sid) = self.calls.borrow().get(&key).cloned() else { return };
         if self.ended.borrow_mut().insert(key) {
             let stood = self.stands.borrow_mut().remove(&sid);
-            let what = if stood { What::Bye(cause_of(frame)) } else { What::Cancel };
-            self.world.note(&self.name, &sid, what);
+            let what = if stood { EventKind::Bye(cause_of(frame)) } else { EventKind::Cancel };
+            self.world.record(&self.name, &sid, what);
         }
     }
 
     fn through(self: &Rc<Self>, from: SocketAddr, frame: &Frame) {
         let sid = frame.elements.variable("callid").unwrap_or_default();
         if frame.kind == Kind::Iax(Iax::New) && !self.mute() {
-            let entry = self.door.borrow().look(from, frame, now());
+            let entry = self.token_check.borrow().look(from, frame, now());
             if let Entry::Answered(answer) = &entry {
                 self.wire.send(vec![(from, answer.bytes())]);
             }
@@ -332,8 +333,8 @@
             if before.as_ref() != Some(&sid) && !self.ended.borrow().contains(&key) {
                 let text = |element| frame.elements.text(element).unwrap_or_default().to_owned();
                 let body = frame.elements.variable("desc").unwrap_or_default();
-                let what = What::SetUp(text(ie::CALLED_CONTEXT), text(ie::CALLED_NUMBER), body);
-                self.world.note(&self.name, &sid, what);
+                let what = EventKind::SetUp(text(ie::CALLED_CONTEXT), text(ie::CALLED_NUMBER), body);
+                self.world.record(&self.name, &sid, what);
             }
         }
         if self.mute() {
@@ -347,13 +348,13 @@
                 if let Some(no) = no {
                     self.wire.number_of.borrow_mut().insert(sid.clone(), no);
                     self.wire.arm(no);
-                    if let Some(examiner) = &mut *self.examiner.borrow_mut() {
+                    if let Some(examiner) = &mut *self.authenticator.borrow_mut() {
                         let (elements, asked) =
                             examiner.challenge(new.elements.text(ie::USERNAME).unwrap_or_default());
                         self.asked.borrow_mut().insert(no, asked);
                         return self.wire.say(no, Kind::Iax(Iax::AuthReq), elements);
                     }
-                    let does = self.does.borrow().clone();
+                    let does = self.behaviour.borrow().clone();
                     self.treat(no, &sid, does);
                 }
             }
@@ -365,13 +366,13 @@
             Some(LegEvent::Frame(no, frame)) if frame.kind == Kind::Iax(Iax::AuthRep) => {
                 let Some(asked) = self.asked.borrow_mut().remove(&no) else { return };
                 let checked = self
-                    .examiner
+                    .authenticator
                     .borrow_mut()
                     .as_mut()
                     .map(|examiner| examiner.verify(from.ip(), &asked, &frame.elements, now()));
                 let does = match checked {
-                    Some(Err(_)) => Does::Refuse(21, String::new()),
-                    _ => self.does.borrow().clone(),
+                    Some(Err(_)) => ServerBehaviour::Refuse(21, String::new()),
+                    _ => self.behaviour.borrow().clone(),
                 };
                 self.treat(no, &sid_of(&self.wire, no), does);
             }
@@ -379,31 +380,31 @@
                 let sid = self.wire.legs.borrow().owner(no).cloned();
                 self.wire.legs.borrow_mut().end(no, now());
                 self.wire.arm(no);
-                if let (Some(sid), Does::Model(machine)) = (sid, &*self.does.borrow()) {
-                    machine.ended(&sid);
+                if let (Some(sid), ServerBehaviour::Model(machine)) = (sid, &*self.behaviour.borrow()) {
+                    machine.end_call(&sid);
                 }
             }
             _ => {}
         }
     }
 
-    fn treat(self: &Rc<Self>, no: u16, sid: &str, does: Does) {
+    fn treat(self: &Rc<Self>, no: u16, sid: &str, does: ServerBehaviour) {
         match does {
-            Does::Answer(description) => self.answer(no, sid, &description),
-            Does::Refuse(code, _) => {
-                self.world.note(&self.name, sid, What::Refused);
+            ServerBehaviour::Answer(description) => self.answer(no, sid, &description),
+            ServerBehaviour::Refuse(code, _) => {
+                self.world.record(&self.name, sid, EventKind::Refused);
                 self.wire.hang_up(no, Iax::Reject, cause(code));
             }
-            Does::Silent | Does::Say(_) => {}
-            Does::Model(machine) => {
+            ServerBehaviour::Silent | ServerBehaviour::Raw(_) => {}
+            ServerBehaviour::Model(machine) => {
                 let (server, name) = (self.clone(), sid.to_owned());
-                machine.take(sid, move |says| server.say_of(no, &name, says));
+                machine.handle_set_up(sid, move |says| server.say_of(no, &name, says));
             }
         }
     }
 
     fn answer(&self, no: u16, sid: &str, description: &str) {
-        self.world.note(&self.name, sid, What::Answered(description.to_owned()));
+        self.world.record(&self.name, sid, EventKind::Answered(description.to_owned()));
         self.stands.borrow_mut().insert(sid.to_owned());
         let accept = Elements::default().with_variable("desc", description);
         self.wire.say(no, Kind::Iax(Iax::Accept), accept.with(ie::FORMAT, &4u32.to_be_bytes()));
@@ -412,22 +413,22 @@
     }
 
     /// What its model says of a set-up.
-    fn say_of(&self, no: u16, sid: &str, says: Says) {
+    fn say_of(&self, no: u16, sid: &str, says: ModelEvent) {
         match says {
-            Says::Answer => self.answer(no, sid, &answer_to(sid)),
-            Says::Full(wait, report) => {
-                self.world.note(&self.name, sid, What::Refused);
+            ModelEvent::Answer => self.answer(no, sid, &model_answer(sid)),
+            ModelEvent::Full(wait, report) => {
+                self.world.record(&self.name, sid, EventKind::Refused);
                 let wait = (wait.0 / 1000).to_string();
                 let elements = cause(42).with_variable("wait", &wait).with_variable("report", &report);
                 self.wire.hang_up(no, Iax::Reject, elements);
             }
-            Says::Error => {
-                self.world.note(&self.name, sid, What::Refused);
+            ModelEvent::Error => {
+                self.world.record(&self.name, sid, EventKind::Refused);
                 self.wire.hang_up(no, Iax::Reject, cause(38 + 3));
             }
-            Says::Release(report) => self.release_with(sid, cause(16).with_variable("report", &report)),
-            Says::Down => {
-                self.world.note(&self.name, "", What::Tipped);
+            ModelEvent::Release(report) => self.release_with(sid, cause(16).with_variable("report", &report)),
+            ModelEvent::Down => {
+                self.world.record(&self.name, "", EventKind::Tipped);
                 self.die();
             }
         }
@@ -455,7 +456,7 @@
         self.registers.borrow_mut().remove(&no);
         self.wire.legs.borrow_mut().end(no, now());
         self.wire.arm(no);
-        self.world.note(&self.name, "", What::Other(format!("{:?}", frame.kind)));
+        self.world.record(&self.name, "", EventKind::Other(format!("{:?}", frame.kind)));
     }
 
     /// Ends a call that stands here.
@@ -479,27 +480,27 @@
         let through = std::mem::take(&mut *self.wire.hung_up.borrow_mut());
         for no in through {
             if let Some(sid) = self.releasing.borrow_mut().remove(&no) {
-                self.world.note(&self.name, &sid, What::Released);
+                self.world.record(&self.name, &sid, EventKind::Released);
             }
         }
     }
 
     /// The machine is down: it says nothing more and knows no call.
     pub fn die(&self) {
-        if let Does::Model(machine) = &*self.does.borrow() {
-            machine.dies();
+        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
+            machine.clear_calls();
             machine.set_silent(true);
         }
         self.stands.borrow_mut().clear();
         self.releasing.borrow_mut().clear();
         *self.wire.legs.borrow_mut() = Legs::default();
-        self.world.note(&self.name, "", What::Died);
+        self.world.record(&self.name, "", EventKind::Died);
     }
 
     /// The machine is up again, and cold.
-    pub fn start_again(&self) {
-        if let Does::Model(machine) = &*self.does.borrow() {
-            machine.starts();
+    pub fn restart(&self) {
+        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
+            machine.restart();
         }
     }
 }
@@ -512,7 +513,7 @@
     pub account: RefCell<Option<Account>>,
     name: String,
     to: SocketAddr,
-    world: World,
+    world: EventLog,
     wire: Wire,
     /// What each leg is for, also after its end.
     sids: RefCell<BTreeMap<u16, String>>,
@@ -523,13 +524,13 @@
 
 impl IaxCaller {
     /// Starts one on a path that does nothing.
-    pub async fn start(world: &World, name: &str, to: SocketAddr) -> Rc<IaxCaller> {
-        IaxCaller::start_behind(world, name, to, Ipv4Addr::LOCALHOST, PathConfig::default(), 2).await
+    pub async fn start(world: &EventLog, name: &str, to: SocketAddr) -> Rc<IaxCaller> {
+        IaxCaller::start_on_path(world, name, to, Ipv4Addr::LOCALHOST, PathConfig::default(), 2).await
     }
 
     /// The same behind a path, and at an address of its own: what one address may begin is bounded.
-    pub async fn start_behind(
-        world: &World,
+    pub async fn start_on_path(
+        world: &EventLog,
         name: &str,
         to: SocketAddr,
         ip: Ipv4Addr,
@@ -577,11 +578,11 @@
             }
             Kind::Control(Control::Answer) => {
                 let body = self.bodies.borrow_mut().remove(&sid).unwrap_or_default();
-                self.world.note(&self.name, &sid, What::Ready(body));
+                self.world.record(&self.name, &sid, EventKind::Ready(body));
             }
             _ => {
                 let wait = frame.elements.variable("wait").and_then(|ms| ms.parse().ok());
-                self.world.note(&self.name, &sid, What::Close(cause_of(frame), wait));
+                self.world.record(&self.name, &sid, EventKind::Close(cause_of(frame), wait));
             }
         }
     }
@@ -601,15 +602,15 @@
 
     /// Asks for a call.
     pub fn open(&self, sid: &str, left_ms: u64, dest: u16, description: &str) {
-        self.ask(sid, dest, &usual_ask(left_ms, description));
+        self.try_open(sid, dest, &default_ask(left_ms, description));
     }
 
     /// Asks for a call. `false`: no call number is free.
-    pub fn ask(&self, sid: &str, dest: u16, ask: &Rc<Ask>) -> bool {
+    pub fn try_open(&self, sid: &str, dest: u16, ask: &Rc<Ask>) -> bool {
         let Some(no) = self.wire.legs.borrow_mut().open_outgoing(self.to, sid.to_owned(), now()) else {
             return false;
         };
-        self.world.note(&self.name, sid, What::Asked(ask.clone()));
+        self.world.record(&self.name, sid, EventKind::Asked(ask.clone()));
         self.wire.number_of.borrow_mut().insert(sid.to_owned(), no);
         self.sids.borrow_mut().insert(no, sid.to_owned());
         self.noted.borrow_mut().remove(&no);
@@ -643,7 +644,7 @@
     }
 
     /// Says something of its own on a call's leg.
-    pub fn say(&self, sid: &str, kind: Kind) {
+    pub fn send_frame(&self, sid: &str, kind: Kind) {
         let no = self.wire.leg_of(sid).expect("a leg");
         self.wire.say(no, kind, Elements::default());
     }
--- a/crates/lockpoint-lab/src/load.rs
+++ b/crates/lockpoint-lab/src/load.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
 
-use crate::path::chance;
+use crate::path::random_fraction;
 
 /// What callers are like.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -47,17 +47,17 @@
 
 /// A caller who wants a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wanted {
+pub struct CallerPlan {
     /// When he asks.
     pub at: Time,
     /// His number among all calls: names and chances follow from it.
-    pub no: u64,
+    pub number: u64,
     /// Over IAX2.
     pub iax2: bool,
     /// The cell of his first choice.
     pub dest: u16,
     /// He gives up after this, if the answer is not there.
-    pub gives_up: Option<Span>,
+    pub gives_up_after: Option<Span>,
     /// He ends the call himself.
     pub hangs_up: bool,
     /// How often he has asked before.
@@ -80,22 +80,22 @@
     }
 
     /// The next arrival after `now` at a rate of so many a second (Poisson).
-    pub fn arrival(&mut self, now: Time, rate: f64) -> Wanted {
+    pub fn arrival(&mut self, now: Time, rate: f64) -> CallerPlan {
         let gap: f64 = Exp1.sample(&mut self.rng);
         self.wanted(now.plus(Span::from_secs(gap / rate.max(1e-6))), 0)
     }
 
-    fn wanted(&mut self, at: Time, redialled: u32) -> Wanted {
-        let [iax2, impatient, when, hangs_up] = [(); 4].map(|()| chance(&mut self.rng));
+    fn wanted(&mut self, at: Time, redialled: u32) -> CallerPlan {
+        let [iax2, impatient, when, hangs_up] = [(); 4].map(|()| random_fraction(&mut self.rng));
         let dest = (self.rng.next_u32() % u32::from(self.cells)) as u16;
         let patience = Span::from_millis(self.config.patience_ms);
         self.next_no += 1;
-        Wanted {
+        CallerPlan {
             at,
-            no: self.next_no,
+            number: self.next_no,
             iax2: iax2 < self.config.iax2,
             dest,
-            gives_up: (impatient < self.config.impatient).then(|| patience.scale(when)),
+            gives_up_after: (impatient < self.config.impatient).then(|| patience.scale(when)),
             hangs_up: hangs_up < self.config.hang_up,
             redialled,
         }
@@ -103,8 +103,8 @@
 
     /// A refused caller, told to stay away for `wait`: when he asks again, if he does. He is the same caller as before,
     /// with the same patience and on the same wire, but his call is a new one.
-    pub fn redial(&mut self, now: Time, of: &Wanted, wait: Span) -> Option<Wanted> {
-        let (again, spread) = (chance(&mut self.rng), chance(&mut self.rng));
+    pub fn redial(&mut self, now: Time, of: &CallerPlan, wait: Span) -> Option<CallerPlan> {
+        let (again, spread) = (random_fraction(&mut self.rng), random_fraction(&mut self.rng));
         if of.redialled >= self.config.redials || again >= self.config.redial {
             return None;
         }
@@ -131,7 +131,7 @@
         assert!((9_700..10_300).contains(&iax2), "{iax2}");
         let first = load.arrival(now, 1.0);
         let second = load.redial(first.at, &first, Span::from_millis(100)).expect("asks again");
-        assert!(second.at >= first.at.plus(Span::from_millis(100)) && second.no != first.no);
+        assert!(second.at >= first.at.plus(Span::from_millis(100)) && second.number != first.number);
         let third = load.redial(second.at, &second, Span::default()).expect("and again");
         assert_eq!(load.redial(third.at, &third, Span::default()), None);
     }
--- a/crates/lockpoint-lab/src/main.rs
+++ b/crates/lockpoint-lab/src/main.rs
@@ -11,8 +11,8 @@
 use lockpoint_lab::experiment::Experiment;
 use lockpoint_lab::fleet::{cold_budget, crash, limits};
 use lockpoint_lab::results::Outcome;
-use lockpoint_lab::run::{run, Show};
-use lockpoint_lab::under_test::{beside, LabError};
+use lockpoint_lab::run::{run, OutputOptions};
+use lockpoint_lab::under_test::{sibling_program, LabError};
 use lockpoint_lab::world::on_one_thread;
 use lockpoint_lab::{bench, demo, relay, scale};
 
@@ -81,9 +81,9 @@
             Commands::Run { file, out, program, seed, live, trace } => {
                 let mut experiment = Experiment::from_file(&file)?;
                 experiment.seed = seed.unwrap_or(experiment.seed);
-                let program = program.unwrap_or_else(|| beside("lockpoint"));
+                let program = program.unwrap_or_else(|| sibling_program("lockpoint"));
                 let trace = trace.map(|file| File::create(&file).map_err(|e| LabError::file(&file, e)));
-                let show = Show { live, trace: trace.transpose()?.map(BufWriter::new) };
+                let show = OutputOptions { live, trace: trace.transpose()?.map(BufWriter::new) };
                 shown(&run(&experiment, &program, show).await?, &out)
             }
             Commands::Demo { config, out, seconds } => shown(&demo::run(&config, seconds).await?, &out),
@@ -109,5 +109,5 @@
     outcome.write(out)?;
     println!("{}", outcome.summary());
     println!("{} holds seconds.csv, summary.md and chart.svg", out.display());
-    Ok(outcome.kept())
+    Ok(outcome.passed())
 }
--- a/crates/lockpoint-lab/src/path.rs
+++ b/crates/lockpoint-lab/src/path.rs
@@ -30,7 +30,7 @@
 }
 
 /// A share of 1 by chance.
-pub fn chance(rng: &mut Pcg64Mcg) -> f64 {
+pub fn random_fraction(rng: &mut Pcg64Mcg) -> f64 {
     // 53 bits: as many as the mantissa holds.
     (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
 }
@@ -49,10 +49,10 @@
     }
 
     /// After how long each copy of the next datagram arrives; none: it is lost.
-    pub fn fate(&mut self) -> Vec<Span> {
+    pub fn delivery_delays(&mut self) -> Vec<Span> {
         let PathConfig { loss, repeat, reorder, held_ms, delay_ms, jitter_ms } = self.config;
         // Always as many draws, so that one figure changed leaves the other fates as they were.
-        let [lost, twice, late, jitter, more] = [(); 5].map(|()| chance(&mut self.rng));
+        let [lost, twice, late, jitter, more] = [(); 5].map(|()| random_fraction(&mut self.rng));
         if lost < loss {
             return Vec::new();
         }
@@ -75,7 +75,7 @@
         let config = PathConfig { loss: 0.05, repeat: 0.02, reorder: 0.02, ..PathConfig::default() };
         let fates = |seed| {
             let mut path = Path::new(config, seed);
-            (0..100_000).map(|_| path.fate()).collect::<Vec<_>>()
+            (0..100_000).map(|_| path.delivery_delays()).collect::<Vec<_>>()
         };
         let all = fates(7);
         let share = |which: fn(&Vec<Span>) -> bool| all.iter().filter(|f| which(f)).count() as f64 / 1e5;
--- a/crates/lockpoint-lab/src/processor.rs
+++ b/crates/lockpoint-lab/src/processor.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
 
-use crate::path::chance;
+use crate::path::random_fraction;
 
 /// Shares of a call's work that its set-up, its answer and its release take.
 const SHARES: (f64, f64, f64) = (0.6, 0.15, 0.25);
@@ -56,13 +56,13 @@
 
 /// What becomes of a set-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It is answered at this time.
-    Taken(Time),
+    Accepted(Time),
     /// It is turned away at this time, for a wait so long.
-    TurnedAway(Time, Span),
+    Rejected(Time, Span),
     /// It was too much for a cold processor: the machine is down.
-    Tipped,
+    Crashed,
 }
 
 /// A processor at work.
@@ -109,7 +109,7 @@
     }
 
     /// The share of its capacity that it has now.
-    pub fn share(&self, now: Time) -> f64 {
+    pub fn capacity_share(&self, now: Time) -> f64 {
         let ProcessorConfig { cold_share, cold_ms, .. } = self.config;
         let Some(born) = self.born else { return 1.0 };
         let age = now.since(born).0 as f64 / (cold_ms.max(1) * 1000) as f64;
@@ -126,39 +126,43 @@
     }
 
     fn work(&mut self, share: f64, now: Time) -> Time {
-        let took = self.whole() * share / (self.share(now) * self.speed);
+        let took = self.whole() * share / (self.capacity_share(now) * self.speed);
         let start = self.free_at.max(now);
         self.free_at = start.plus(Span::from_secs(took));
         self.free_at
     }
 
     /// A set-up arrives.
-    pub fn offer(&mut self, now: Time) -> Offer {
+    pub fn offer(&mut self, now: Time) -> Admission {
         let ProcessorConfig { overload_factor, tip_ms, longest_wait_ms, .. } = self.config;
         let (window, whole) = (Span::from_millis(tip_ms), self.whole());
         while self.recent.front().is_some_and(|(at, _)| now.since(*at) > window) {
             self.recent.pop_front();
         }
         self.recent.push_back((now, whole));
-        let share = self.share(now);
+        let share = self.capacity_share(now);
         let offered: f64 = self.recent.iter().map(|(_, work)| work).sum();
         let bears = overload_factor * share * (tip_ms as f64 / 1000.0) + TIP_SLACK * whole;
         if share < 1.0 && offered > bears {
-            return Offer::Tipped;
+            return Admission::Crashed;
         }
         let wait = self.wait(now);
         self.remember(now, wait);
         if wait > Span::from_millis(longest_wait_ms) {
-            return Offer::TurnedAway(self.work(TURNING_AWAY, now).min(now.plus(Span::from_millis(5))), wait);
+            return Admission::Rejected(
+                self.work(TURNING_AWAY, now).min(now.plus(Span::from_millis(5))),
+                wait,
+            );
         }
-        Offer::Taken(self.work(SHARES.0 + SHARES.1, now))
+        Admission::Accepted(self.work(SHARES.0 + SHARES.1, now))
     }
 
     /// What a cold processor was offered within its window, as a share of what makes it fall over, no slack counted.
-    pub fn pressure(&self, now: Time) -> f64 {
+    pub fn overload_share(&self, now: Time) -> f64 {
         let ProcessorConfig { overload_factor, tip_ms, .. } = self.config;
         let offered: f64 = self.recent.iter().map(|(_, work)| work).sum();
-        offered / (overload_factor * self.share(now) * (tip_ms as f64 / 1000.0)).max(f64::MIN_POSITIVE)
+        offered
+            / (overload_factor * self.capacity_share(now) * (tip_ms as f64 / 1000.0)).max(f64::MIN_POSITIVE)
     }
 
     /// A call that stood ends: when its release is said. Releases go ahead of set-ups that wait.
@@ -184,7 +188,7 @@
         // What waited then has been worked on since: a queue that gets nothing is empty some time.
         let since = now.since(late_by(at, late)).secs();
         let (busy, waiting) = ((busy - since).max(0.0), (waiting - since / self.whole()).max(0.0));
-        let noise = 1.0 + self.config.report_noise * (2.0 * chance(&mut self.rng) - 1.0);
+        let noise = 1.0 + self.config.report_noise * (2.0 * random_fraction(&mut self.rng) - 1.0);
         ((busy * noise).clamp(0.0, 1.0), (waiting * noise).max(0.0).round())
     }
 }
@@ -212,7 +216,7 @@
                 releases.pop_front();
                 processor.release(at(ms));
             }
-            if let Offer::Taken(done) = processor.offer(at(ms)) {
+            if let Admission::Accepted(done) = processor.offer(at(ms)) {
                 taken += 1;
                 releases.push_back(done.plus(Span::from_millis(1_000)));
             }
@@ -234,13 +238,13 @@
     #[test]
     fn a_cold_one_is_slower_and_falls_over_at_a_burst_that_a_warm_one_bears() {
         let burst = |processor: &mut Processor, from: u64| {
-            (0..100).any(|n| processor.offer(at(from + n * 5)) == Offer::Tipped)
+            (0..100).any(|n| processor.offer(at(from + n * 5)) == Admission::Crashed)
         };
         let mut processor = Processor::new(ProcessorConfig::default(), 1);
         assert!(!burst(&mut processor, 0));
         processor.start(at(1_000));
-        assert!((processor.share(at(1_000)) - 0.36).abs() < 1e-9);
-        assert!((processor.share(at(8_000)) - 0.68).abs() < 1e-9);
+        assert!((processor.capacity_share(at(1_000)) - 0.36).abs() < 1e-9);
+        assert!((processor.capacity_share(at(8_000)) - 0.68).abs() < 1e-9);
         assert!(burst(&mut processor, 1_000));
         processor.start(at(2_000));
         assert!(!burst(&mut processor, 30_000));
--- a/crates/lockpoint-lab/src/resolver.rs
+++ b/crates/lockpoint-lab/src/resolver.rs
@@ -20,7 +20,7 @@
     /// What it knows.
     pub records: RefCell<Vec<Record>>,
     /// How often it was asked.
-    pub asked: Cell<usize>,
+    pub queries: Cell<usize>,
 }
 
 impl Resolver {
@@ -33,14 +33,14 @@
     pub async fn start_at(at: SocketAddr) -> std::io::Result<Rc<Resolver>> {
         let socket = UdpSocket::bind(at).await?;
         let at = socket.local_addr()?;
-        let resolver = Rc::new(Resolver { at, records: RefCell::default(), asked: Cell::new(0) });
+        let resolver = Rc::new(Resolver { at, records: RefCell::default(), queries: Cell::new(0) });
         let serving = resolver.clone();
         spawn_local(async move {
             let mut bytes = vec![0; 4_096];
             while let Ok((n, from)) = socket.recv_from(&mut bytes).await {
                 let Ok(query) = Message::from_vec(&bytes[..n]) else { continue };
                 let Some(asked) = query.queries.first().cloned() else { continue };
-                serving.asked.set(serving.asked.get() + 1);
+                serving.queries.set(serving.queries.get() + 1);
                 let mut answer = Message::new(query.metadata.id, MessageType::Response, OpCode::Query);
                 answer.add_query(asked.clone());
                 let records = serving.records.borrow().clone();
@@ -57,7 +57,7 @@
     }
 
     /// Names a call server: PTR, SRV, TXT and A.
-    pub fn name_server(&self, name: &str, at: SocketAddr, ttl: u32, text: &[String]) {
+    pub fn add_server(&self, name: &str, at: SocketAddr, ttl: u32, text: &[String]) {
         let named = |text: &str| Name::from_ascii(text).expect("a name");
         let (instance, target) =
             (named(&format!("{name}.{SERVICE}")), named(&format!("{name}.clubs.example.")));
@@ -70,7 +70,7 @@
     }
 
     /// No record names it any more.
-    pub fn forget_server(&self, name: &str) {
+    pub fn remove_server(&self, name: &str) {
         let instance = Name::from_ascii(format!("{name}.{SERVICE}")).expect("a name");
         let target = Name::from_ascii(format!("{name}.clubs.example.")).expect("a name");
         self.records.borrow_mut().retain(|record| {
--- a/crates/lockpoint-lab/src/results.rs
+++ b/crates/lockpoint-lab/src/results.rs
@@ -8,19 +8,19 @@
 use serde::Serialize;
 
 use crate::audit::{Counts, Rule};
-use crate::under_test::{LabError, Used};
+use crate::under_test::{LabError, ResourceUsage};
 
 /// Longest latency that is told apart, in microseconds.
 const LONGEST: u64 = 60_000_000;
 
 /// Latencies in microseconds.
-pub fn latencies() -> Histogram<u64> {
+pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, LONGEST, 3).unwrap_or_else(|_| unreachable!("good bounds"))
 }
 
 /// A latency at a share of the calls, in milliseconds.
-pub fn at_share(latencies: &Histogram<u64>, share: f64) -> f64 {
-    latencies.value_at_quantile(share) as f64 / 1000.0
+pub fn quantile_ms(latency_histogram: &Histogram<u64>, share: f64) -> f64 {
+    latency_histogram.value_at_quantile(share) as f64 / 1000.0
 }
 
 /// One second of an experiment.
@@ -46,7 +46,7 @@
 
 /// What one protocol's callers saw.
 #[derive(Debug, Clone)]
-pub struct Side {
+pub struct ProtocolResults {
     /// `json` or `iax2`.
     pub name: &'static str,
     /// Set-ups asked for, calls that stood, those that stood within the aim.
@@ -59,10 +59,10 @@
     pub latency: Histogram<u64>,
 }
 
-impl Side {
+impl ProtocolResults {
     /// Nothing seen yet.
-    pub fn new(name: &'static str) -> Side {
-        Side { name, asked: 0, stood: 0, in_aim: 0, latency: latencies() }
+    pub fn new(name: &'static str) -> ProtocolResults {
+        ProtocolResults { name, asked: 0, stood: 0, in_aim: 0, latency: latency_histogram() }
     }
 }
 
@@ -80,25 +80,25 @@
     /// By seconds.
     pub seconds: Vec<Second>,
     /// By the callers' protocol.
-    pub sides: [Side; 2],
+    pub sides: [ProtocolResults; 2],
     /// What the checker counted.
     pub counts: Counts,
     /// Forged NEWs that were sent beside.
     pub forged: u64,
     /// Rules broken: how often, and the first case.
-    pub broken: Vec<(Rule, u64, String)>,
+    pub violations: Vec<(Rule, u64, String)>,
     /// What the process under test used in all.
-    pub used: Used,
+    pub used: ResourceUsage,
     /// It ended in order when told to.
-    pub ended: bool,
+    pub stopped_cleanly: bool,
     /// What it says of itself, a line an instance.
-    pub says: Vec<String>,
+    pub counter_lines: Vec<String>,
 }
 
 impl Outcome {
     /// Whether every rule was kept.
-    pub fn kept(&self) -> bool {
-        self.broken.is_empty() && self.ended
+    pub fn passed(&self) -> bool {
+        self.violations.is_empty() && self.stopped_cleanly
     }
 
     /// The summary, in Markdown.
@@ -112,8 +112,8 @@
         let _ = writeln!(text, "| callers | asked | stood | in aim | p50 ms | p99 ms | p99.9 ms |");
         let _ = writeln!(text, "| --- | ---: | ---: | ---: | ---: | ---: | ---: |");
         for side in &self.sides {
-            let [p50, p99, p999] = [0.5, 0.99, 0.999].map(|share| at_share(&side.latency, share));
-            let Side { name, asked, stood, in_aim, .. } = side;
+            let [p50, p99, p999] = [0.5, 0.99, 0.999].map(|share| quantile_ms(&side.latency, share));
+            let ProtocolResults { name, asked, stood, in_aim, .. } = side;
             let _ =
                 writeln!(text, "| {name} | {asked} | {stood} | {in_aim} | {p50:.1} | {p99:.1} | {p999:.1} |");
         }
@@ -139,16 +139,16 @@
                 self.forged
             );
         }
-        if self.broken.is_empty() {
+        if self.violations.is_empty() {
             let _ = writeln!(text, "No rule was broken; every call had one final answer.");
         }
-        for (rule, count, first) in &self.broken {
+        for (rule, count, first) in &self.violations {
             let _ = writeln!(text, "- BROKEN {rule:?}: {count} times, first: {first}");
         }
-        if !self.ended {
+        if !self.stopped_cleanly {
             let _ = writeln!(text, "- BROKEN: the controller did not end in order when told to");
         }
-        for line in &self.says {
+        for line in &self.counter_lines {
             let _ = writeln!(text, "\n    {line}");
         }
         text
--- a/crates/lockpoint-lab/src/run.rs
+++ b/crates/lockpoint-lab/src/run.rs
@@ -16,18 +16,18 @@
 use tokio::sync::mpsc;
 
 use crate::audit::Audit;
-use crate::bulletin::{host, Bulletin};
+use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
-use crate::experiment::{Experiment, Fault, ServerConfig, Speaks, Trouble, RECORD_LIFE};
+use crate::experiment::{Experiment, Fault, FaultKind, ServerConfig, ServerProtocol, RECORD_LIFE};
 use crate::flood::Flood;
 use crate::iax2::{IaxCaller, IaxServer};
-use crate::load::{Load, Wanted};
-use crate::machine::Machine;
+use crate::load::{CallerPlan, Load};
 use crate::resolver::{Resolver, SERVICE};
-use crate::results::{at_share, latencies, Outcome, Second, Side};
-use crate::sip::{Does, SipServer};
-use crate::under_test::{address, Agent, Folder, LabError, Used};
-use crate::world::{now, sleep_until, time_of, Ask, News, Seen, What, World};
+use crate::results::{latency_histogram, quantile_ms, Outcome, ProtocolResults, Second};
+use crate::server_model::ServerModel;
+use crate::sip::{ServerBehaviour, SipServer};
+use crate::under_test::{address, Agent, LabError, ResourceUsage, TempDir};
+use crate::world::{now, sleep_until, time_of, Ask, EventKind, EventLog, ListedState, RecordedEvent};
 
 /// Speed of a slow call server.
 const SLOW: f64 = 0.25;
@@ -47,7 +47,7 @@
     move |why| LabError::Socket { what: what.to_owned(), why }
 }
 
-enum OnWire {
+enum ProtocolServer {
     Sip(Rc<SipServer>),
     Iax2(Rc<IaxServer>),
 }
@@ -56,15 +56,15 @@
 struct Server {
     name: String,
     cell: u16,
-    on_wire: OnWire,
-    machine: Rc<Machine>,
+    on_wire: ProtocolServer,
+    machine: Rc<ServerModel>,
     born_ms: u64,
 }
 
 /// All that a controller talks to, before it starts.
-pub struct Stage {
-    world: World,
-    seen: mpsc::UnboundedReceiver<Seen>,
+pub struct TestBed {
+    world: EventLog,
+    seen: mpsc::UnboundedReceiver<RecordedEvent>,
     /// The list of SIP call servers.
     pub bulletin: Rc<Bulletin>,
     /// The records of IAX2 call servers.
@@ -72,71 +72,71 @@
     servers: Vec<Server>,
 }
 
-impl Stage {
+impl TestBed {
     /// Sets the stand-ins of an experiment up; the directories listen where they are told to.
-    pub async fn set(
+    pub async fn start(
         experiment: &Experiment,
         bulletin: SocketAddr,
         resolver: SocketAddr,
-    ) -> Result<Stage, LabError> {
-        let world = World::forgetful();
-        let seen = world.tap();
+    ) -> Result<TestBed, LabError> {
+        let world = EventLog::without_history();
+        let seen = world.subscribe();
         let bulletin = Bulletin::start_at(&world, bulletin).await.map_err(socket("bulletin"))?;
         let resolver = Resolver::start_at(resolver).await.map_err(socket("resolver"))?;
         let mut servers = Vec::new();
-        for (n, ServerConfig { name, speaks, processor }) in experiment.server.iter().enumerate() {
+        for (n, ServerConfig { name, protocol, processor }) in experiment.server.iter().enumerate() {
             let seed = experiment.seed.wrapping_mul(1_000).wrapping_add(n as u64);
-            let machine = Machine::new(*processor, experiment.hold_ms, seed);
-            let does = Does::Model(machine.clone());
-            let on_wire = match speaks {
-                Speaks::Sip => OnWire::Sip(SipServer::start(&world, name, does).await),
-                Speaks::Iax2 => {
-                    OnWire::Iax2(IaxServer::start_behind(&world, name, does, experiment.path, seed).await)
-                }
+            let machine = ServerModel::new(*processor, experiment.hold_ms, seed);
+            let does = ServerBehaviour::Model(machine.clone());
+            let on_wire = match protocol {
+                ServerProtocol::Sip => ProtocolServer::Sip(SipServer::start(&world, name, does).await),
+                ServerProtocol::Iax2 => ProtocolServer::Iax2(
+                    IaxServer::start_on_path(&world, name, does, experiment.path, seed).await,
+                ),
             };
             servers.push(Server { name: name.clone(), cell: n as u16, on_wire, machine, born_ms: 0 });
         }
-        let stage = Stage { world, seen, bulletin, resolver, servers };
+        let stage = TestBed { world, seen, bulletin, resolver, servers };
         let sip = stage.servers.iter().filter_map(|s| s.line("ready")).collect();
-        stage.bulletin.tell(true, sip);
-        stage.servers.iter().for_each(|server| stage.list(server, News::Ready));
+        stage.bulletin.publish(true, sip);
+        stage.servers.iter().for_each(|server| stage.list(server, ListedState::Ready));
         Ok(stage)
     }
 
     /// What its own call servers see from now on is nobody's.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn stop_recording(&mut self) {
         self.seen.close();
     }
 
     /// Puts news of a call server on its list.
-    fn list(&self, server: &Server, news: News) {
+    fn list(&self, server: &Server, news: ListedState) {
         let state = match news {
-            News::Ready => "ready",
-            News::Draining => "draining",
-            News::Gone => "gone",
+            ListedState::Ready => "ready",
+            ListedState::Draining => "draining",
+            ListedState::Gone => "gone",
         };
         let mut later = Duration::ZERO;
         match &server.on_wire {
-            OnWire::Sip(_) => self.bulletin.tell(false, server.line(state).into_iter().collect()),
-            OnWire::Iax2(iax2) => {
+            ProtocolServer::Sip(_) => self.bulletin.publish(false, server.line(state).into_iter().collect()),
+            ProtocolServer::Iax2(iax2) => {
                 later = Duration::from_secs(u64::from(RECORD_LIFE));
                 let text =
                     [("cell", server.cell.to_string()), ("zone", "east".into()), ("state", state.into())];
                 let mut text: Vec<String> = text.map(|(key, value)| format!("{key}={value}")).to_vec();
                 text.push(format!("born_ms={}", server.born_ms));
-                self.resolver.forget_server(&server.name);
-                self.resolver.name_server(&server.name, iax2.at, RECORD_LIFE, &text);
+                self.resolver.remove_server(&server.name);
+                self.resolver.add_server(&server.name, iax2.at, RECORD_LIFE, &text);
             }
         }
-        self.world.note(&server.name, "", What::News(news, later));
+        self.world.record(&server.name, "", EventKind::News(news, later));
     }
 }
 
 impl Server {
     /// Its line of the bulletin, if it is of that list.
     fn line(&self, state: &str) -> Option<serde_json::Value> {
-        let OnWire::Sip(sip) = &self.on_wire else { return None };
-        let mut line = host(&self.name, sip.at, self.cell, state);
+        let ProtocolServer::Sip(sip) = &self.on_wire else { return None };
+        let mut line = list_entry(&self.name, sip.at, self.cell, state);
         line["born_ms"] = json!(self.born_ms);
         Some(line)
     }
@@ -145,7 +145,7 @@
 /// An operator's file for one instance that stands in the midst of a stage.
 pub(crate) fn agent_file(
     experiment: &Experiment,
-    stage: &Stage,
+    stage: &TestBed,
     control: &Path,
     limits: Value,
 ) -> Result<String, LabError> {
@@ -156,7 +156,7 @@
     for (key, value) in &experiment.iax2 {
         instance["iax2"][key] = serde_json::to_value(value).map_err(|e| LabError::file(control, e))?;
     }
-    if stage.servers.iter().any(|s| matches!(s.on_wire, OnWire::Iax2(_))) {
+    if stage.servers.iter().any(|s| matches!(s.on_wire, ProtocolServer::Iax2(_))) {
         instance["dns_sd"] = json!({"resolver": stage.resolver.at, "service": SERVICE});
     }
     let file = json!({"control": control, "instance": [instance]});
@@ -177,7 +177,7 @@
 }
 
 struct Active {
-    wanted: Wanted,
+    wanted: CallerPlan,
     asked: Time,
     by: usize,
     stands: bool,
@@ -186,7 +186,7 @@
 /// An experiment under way.
 struct Run<'a> {
     experiment: &'a Experiment,
-    stage: Stage,
+    stage: TestBed,
     agent: Agent,
     json_at: SocketAddr,
     iax2_at: SocketAddr,
@@ -194,22 +194,22 @@
     iax2: Vec<Rc<IaxCaller>>,
     load: Load,
     agenda: BinaryHeap<Reverse<(Time, Act)>>,
-    wanted: BTreeMap<u64, Wanted>,
+    wanted: BTreeMap<u64, CallerPlan>,
     active: BTreeMap<String, Active>,
     audit: Audit,
     began: Time,
     seconds: Vec<Second>,
     second: Second,
     in_second: hdrhistogram::Histogram<u64>,
-    sides: [Side; 2],
-    used: Used,
+    sides: [ProtocolResults; 2],
+    used: ResourceUsage,
     forged: u64,
-    show: Show,
+    show: OutputOptions,
 }
 
 /// What is shown while an experiment runs.
 #[derive(Debug, Default)]
-pub struct Show {
+pub struct OutputOptions {
     /// A line a second goes to standard output.
     pub live: bool,
     /// All that the stand-ins see goes here: milliseconds, who, which call, what.
@@ -217,10 +217,10 @@
 }
 
 /// Runs an experiment against an agent of its own.
-pub async fn run(experiment: &Experiment, program: &Path, show: Show) -> Result<Outcome, LabError> {
-    let folder = Folder::new("run")?;
+pub async fn run(experiment: &Experiment, program: &Path, show: OutputOptions) -> Result<Outcome, LabError> {
+    let folder = TempDir::new("run")?;
     let control = folder.path().join("control.sock");
-    let stage = Stage::set(experiment, any_port(), any_port()).await?;
+    let stage = TestBed::start(experiment, any_port(), any_port()).await?;
     let config: PathBuf = folder.path().join("agent.toml");
     let text = agent_file(experiment, &stage, &control, json!({"sockets": 1024, "memory_mb": 192}))?;
     std::fs::write(&config, text).map_err(|e| LabError::file(&config, e))?;
@@ -231,16 +231,17 @@
 /// The same on a stage that is set and an agent that was started; `instance` is the one that callers call.
 pub async fn run_on(
     experiment: &Experiment,
-    stage: Stage,
+    stage: TestBed,
     mut agent: Agent,
     instance: &str,
-    show: Show,
+    show: OutputOptions,
 ) -> Result<Outcome, LabError> {
     let count = stage.servers.len();
-    let ready = agent.until(|i| i.name != instance || (i.state == "serving" && i.servers.len() >= count));
+    let ready =
+        agent.wait_until(|i| i.name != instance || (i.state == "serving" && i.servers.len() >= count));
     let status = ready.await?;
     let status = status.iter().find(|status| status.name == instance);
-    let status = status.ok_or_else(|| LabError::Serves(format!("it has no instance '{instance}'")))?;
+    let status = status.ok_or_else(|| LabError::NotServing(format!("it has no instance '{instance}'")))?;
     let (json_at, iax2_at) = (address(&status.listen, "listen")?, address(&status.iax2, "iax2.listen")?);
     let most_rate =
         experiment.burst.iter().fold(1.0, |most: f64, b| most.max(b.factor)) * experiment.rate(-1.0);
@@ -254,7 +255,7 @@
         let seed = experiment.seed.wrapping_mul(77).wrapping_add(n as u64);
         let (name, path) = (format!("iax2-{n}"), experiment.path);
         let ip = Ipv4Addr::new(127, 1, (n / 250) as u8, (n % 250 + 1) as u8);
-        iax2.push(IaxCaller::start_behind(&stage.world, &name, iax2_at, ip, path, seed).await);
+        iax2.push(IaxCaller::start_on_path(&stage.world, &name, iax2_at, ip, path, seed).await);
     }
     let load = Load::new(experiment.callers.clone(), count as u16, experiment.seed);
     let used = agent.used();
@@ -274,8 +275,8 @@
         began: now(),
         seconds: Vec::new(),
         second: Second::default(),
-        in_second: latencies(),
-        sides: [Side::new("json"), Side::new("iax2")],
+        in_second: latency_histogram(),
+        sides: [ProtocolResults::new("json"), ProtocolResults::new("iax2")],
         used,
         forged: 0,
         show,
@@ -300,9 +301,9 @@
         }
     }
 
-    fn want(&mut self, wanted: Wanted) {
-        self.set(wanted.at, Act::Arrive(wanted.no));
-        self.wanted.insert(wanted.no, wanted);
+    fn want(&mut self, wanted: CallerPlan) {
+        self.set(wanted.at, Act::Arrive(wanted.number));
+        self.wanted.insert(wanted.number, wanted);
     }
 
     async fn drive(mut self) -> Result<Outcome, LabError> {
@@ -355,7 +356,7 @@
         let used = self.agent.used();
         let says = self.agent.counters().await.iter().map(lockpoint::counters::Counters::line).collect();
         let ended = self.agent.stop().await;
-        let broken = self.audit.broken().iter().map(|(rule, (n, first))| (*rule, *n, first.clone()));
+        let broken = self.audit.violations().iter().map(|(rule, (n, first))| (*rule, *n, first.clone()));
         Ok(Outcome {
             name: self.experiment.name.clone(),
             seed: self.experiment.seed,
@@ -365,10 +366,10 @@
             sides: self.sides,
             counts: self.audit.counts.clone(),
             forged: self.forged,
-            broken: broken.collect(),
+            violations: broken.collect(),
             used,
-            ended,
-            says,
+            stopped_cleanly: ended,
+            counter_lines: says,
         })
     }
 
@@ -387,7 +388,7 @@
             }
             Act::GiveUp(sid) => {
                 if let Some(active) = self.active.get(&sid).filter(|active| !active.stands) {
-                    self.stage.world.note("caller", &sid, What::GaveUp);
+                    self.stage.world.record("caller", &sid, EventKind::GaveUp);
                     self.end_call(&sid, active.wanted.iax2, active.by).await;
                     self.second.given_up += 1;
                     self.active.remove(&sid);
@@ -406,13 +407,13 @@
             }
             Act::Begin(n) => self.fault(n, true).await,
             Act::End(n) => self.fault(n, false).await,
-            Act::Relist(server) => self.stage.list(&self.stage.servers[server], News::Ready),
+            Act::Relist(server) => self.stage.list(&self.stage.servers[server], ListedState::Ready),
         }
     }
 
     async fn hang_up(&mut self, sid: &str) {
         if let Some(active) = self.active.remove(sid) {
-            self.stage.world.note("caller", sid, What::HungUp);
+            self.stage.world.record("caller", sid, EventKind::HungUp);
             self.end_call(sid, active.wanted.iax2, active.by).await;
         }
     }
@@ -425,54 +426,54 @@
         }
     }
 
-    async fn ask(&mut self, wanted: Wanted) {
-        let sid = Sid::from_number(0x1ab0_0000_0000_0000_u64.wrapping_add(wanted.no)).to_string();
+    async fn ask(&mut self, wanted: CallerPlan) {
+        let sid = Sid::from_number(0x1ab0_0000_0000_0000_u64.wrapping_add(wanted.number)).to_string();
         let text = "v=0 offer ".repeat(self.experiment.callers.text_bytes.div_ceil(10));
         let ask = Rc::new(Ask {
             class: "judge-call".to_owned(),
-            number: format!("{:016x}", wanted.no.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            number: format!("{:016x}", wanted.number.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             text,
             left_ms: self.experiment.callers.patience_ms,
         });
         let many = if wanted.iax2 { self.iax2.len() } else { self.json.len() };
-        let by = usize::try_from(wanted.no).unwrap_or(0) % many;
+        let by = usize::try_from(wanted.number).unwrap_or(0) % many;
         let asked = now();
         let side = usize::from(wanted.iax2);
         self.sides[side].asked += 1;
         *[&mut self.second.asked_json, &mut self.second.asked_iax2][side] += 1;
         if wanted.iax2 {
-            if !self.iax2[by].ask(&sid, wanted.dest, &ask) {
+            if !self.iax2[by].try_open(&sid, wanted.dest, &ask) {
                 return;
             }
         } else {
-            if self.json[by].ended() {
+            if self.json[by].is_disconnected() {
                 // The controller may close a connection that has nothing open; the caller's next call makes another.
                 match Caller::try_connect(&self.stage.world, &format!("json{by}"), self.json_at).await {
                     Ok(caller) => self.json[by] = Rc::new(caller),
                     Err(_) => return,
                 }
             }
-            if self.json[by].ask_in(0, &sid, wanted.dest, &ask).await.is_err() {
+            if self.json[by].try_open(0, &sid, wanted.dest, &ask).await.is_err() {
                 return;
             }
         }
-        if let Some(after) = wanted.gives_up {
+        if let Some(after) = wanted.gives_up_after {
             self.set(asked.plus(after), Act::GiveUp(sid.clone()));
         }
         self.active.insert(sid, Active { wanted, asked, by, stands: false });
     }
 
-    fn seen(&mut self, seen: &Seen) {
+    fn seen(&mut self, seen: &RecordedEvent) {
         let at = time_of(seen.at);
         if let Some(trace) = &mut self.show.trace {
             let ms = at.since(self.began).0 as f64 / 1000.0;
             // A trace that cannot be written is no reason to spoil the experiment.
-            let _ = writeln!(trace, "{ms:.1} {} {} {:?}", seen.who, seen.sid, seen.what);
+            let _ = writeln!(trace, "{ms:.1} {} {} {:?}", seen.source, seen.sid, seen.kind);
         }
-        self.audit.take(at, &seen.who, &seen.sid, &seen.what);
-        match &seen.what {
-            What::SetUp(..) => self.second.attempts += 1,
-            What::Ready(_) => {
+        self.audit.record(at, &seen.source, &seen.sid, &seen.kind);
+        match &seen.kind {
+            EventKind::SetUp(..) => self.second.attempts += 1,
+            EventKind::Ready(_) => {
                 let Some(active) = self.active.get_mut(&seen.sid).filter(|active| !active.stands) else {
                     return;
                 };
@@ -492,7 +493,7 @@
                     self.set(at.plus(after), Act::HangUp(seen.sid.clone()));
                 }
             }
-            What::Close(_, wait) => {
+            EventKind::Close(_, wait) => {
                 let Some(active) = self.active.remove(&seen.sid) else { return };
                 if !active.stands {
                     self.second.refused += 1;
@@ -515,8 +516,8 @@
         let number = self.seconds.len() as u64;
         let mut second = std::mem::take(&mut self.second);
         second.second = number;
-        second.p50_ms = at_share(&self.in_second, 0.5);
-        second.p99_ms = at_share(&self.in_second, 0.99);
+        second.p50_ms = quantile_ms(&self.in_second, 0.5);
+        second.p99_ms = quantile_ms(&self.in_second, 0.99);
         (second.pending, second.standing) = (pending, standing);
         second.cpu_share = ((used.cpu - self.used.cpu) * 100.0).round() / 100.0;
         second.memory_mib = (used.memory as f64 / f64::from(1 << 20) * 10.0).round() / 10.0;
@@ -540,22 +541,24 @@
     }
 
     async fn fault(&mut self, n: usize, begins: bool) {
-        let Fault { server, what, .. } = &self.experiment.fault[n];
+        let Fault { server, kind, .. } = &self.experiment.fault[n];
         let Some(place) = self.stage.servers.iter().position(|s| s.name == *server) else { return };
         let server = &self.stage.servers[place];
-        match what {
-            Trouble::Silent => server.machine.set_silent(begins),
-            Trouble::Slow => server.machine.set_speed(if begins { SLOW } else { 1.0 }),
-            Trouble::Errs => server.machine.set_errs(begins),
-            Trouble::Drain => self.stage.list(server, if begins { News::Draining } else { News::Ready }),
-            Trouble::Restart if begins => match &server.on_wire {
-                OnWire::Sip(sip) => sip.die(),
-                OnWire::Iax2(iax2) => iax2.die(),
+        match kind {
+            FaultKind::Silent => server.machine.set_silent(begins),
+            FaultKind::Slow => server.machine.set_speed(if begins { SLOW } else { 1.0 }),
+            FaultKind::Errors => server.machine.set_failing(begins),
+            FaultKind::Drain => {
+                self.stage.list(server, if begins { ListedState::Draining } else { ListedState::Ready })
+            }
+            FaultKind::Restart if begins => match &server.on_wire {
+                ProtocolServer::Sip(sip) => sip.die(),
+                ProtocolServer::Iax2(iax2) => iax2.die(),
             },
-            Trouble::Restart => {
+            FaultKind::Restart => {
                 match &server.on_wire {
-                    OnWire::Sip(sip) => drop(sip.start_again().await),
-                    OnWire::Iax2(iax2) => iax2.start_again(),
+                    ProtocolServer::Sip(sip) => drop(sip.restart().await),
+                    ProtocolServer::Iax2(iax2) => iax2.restart(),
                 }
                 let born = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
                 self.stage.servers[place].born_ms = u64::try_from(born).unwrap_or(0);
--- a/crates/lockpoint-lab/src/scale/directory.rs
+++ b/crates/lockpoint-lab/src/scale/directory.rs
@@ -46,5 +46,5 @@
 }
 
 fn line_bytes(line: &DirectoryEntry) -> u64 {
-    bulletin::host(&line.host, line.address, line.cell.0, "ready").to_string().len() as u64
+    bulletin::list_entry(&line.host, line.address, line.cell.0, "ready").to_string().len() as u64
 }
--- a/crates/lockpoint-lab/src/scale/links.rs
+++ b/crates/lockpoint-lab/src/scale/links.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::topology::Topology;
-use crate::path::chance;
+use crate::path::random_fraction;
 
 /// The shortest and the longest way within a region.
 const WITHIN_REGION: (Span, Span) = (Span::from_millis(1), Span::from_millis(4));
@@ -35,7 +35,7 @@
 
     /// How long a datagram is on its way; `None`: it is lost.
     pub fn delay(&self, from: u16, to: u16, rng: &mut Pcg64Mcg) -> Option<Span> {
-        let (lost, way) = (chance(rng), chance(rng));
+        let (lost, way) = (random_fraction(rng), random_fraction(rng));
         if self.are_parted(from, to) || lost < self.loss {
             return None;
         }
--- a/crates/lockpoint-lab/src/scale/options.rs
+++ b/crates/lockpoint-lab/src/scale/options.rs
@@ -163,7 +163,8 @@
 
     /// Says which option cannot be meant.
     pub fn check(&self) -> Result<(), LabError> {
-        let wrong = |option: &str, why: &str| Err(LabError::Serves(format!("at option '--{option}': {why}")));
+        let wrong =
+            |option: &str, why: &str| Err(LabError::NotServing(format!("at option '--{option}': {why}")));
         if self.all_sizes().iter().any(|size| !(6..=20_000).contains(size)) {
             return wrong("controllers", "not from 6 to 20000");
         }
--- a/crates/lockpoint-lab/src/scale/real.rs
+++ b/crates/lockpoint-lab/src/scale/real.rs
@@ -16,12 +16,12 @@
 use super::simulation::{Action, Simulation, SimulationConfig};
 use super::spread::{Delays, Spread};
 use super::traffic::{MeanMax, Traffic};
-use crate::bulletin::{host, Bulletin};
+use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
 use crate::fleet::processes::{settings, Process};
-use crate::sip::{Does, SipServer};
-use crate::under_test::{Folder, LabError, Used};
-use crate::world::{What, World};
+use crate::sip::{ServerBehaviour, SipServer};
+use crate::under_test::{LabError, ResourceUsage, TempDir};
+use crate::world::{EventKind, EventLog};
 
 /// Call servers that the real controllers and the hollow ones list.
 const SERVERS: u16 = 6;
@@ -42,14 +42,14 @@
 
 /// The scene of a run.
 struct Scene {
-    world: World,
+    world: EventLog,
     simulation: Simulation,
     links: RealLinks,
     began: Instant,
     first: Time,
     processes: Vec<Process>,
     /// Holds the files of the processes until they have ended.
-    _folder: Folder,
+    _folder: TempDir,
     first_real: u16,
     calls: u64,
 }
@@ -75,7 +75,7 @@
     let row = Row { drain, death, false_suspicions, ..row };
     for process in scene.processes {
         if !process.stop().await {
-            return Err(LabError::Serves("a real controller did not end in order".to_owned()));
+            return Err(LabError::NotServing("a real controller did not end in order".to_owned()));
         }
     }
     Ok(row)
@@ -83,27 +83,27 @@
 
 /// What was used and sent until a moment.
 struct Counts {
-    used: Vec<Used>,
+    used: Vec<ResourceUsage>,
     traffic: Vec<Traffic>,
 }
 
 impl Scene {
     async fn set(options: &Options, program: &Path) -> Result<Scene, LabError> {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         let mut lines = Vec::new();
         for number in 0..SERVERS {
             let name = format!("s{number}");
-            let server = SipServer::start(&world, &name, Does::Answer("v=0\r\n".into())).await;
-            lines.push(host(&name, server.at, number, "ready"));
+            let server = SipServer::start(&world, &name, ServerBehaviour::Answer("v=0\r\n".into())).await;
+            lines.push(list_entry(&name, server.at, number, "ready"));
         }
-        bulletin.tell(true, lines);
+        bulletin.publish(true, lines);
         let controllers = options.beside_real + options.real;
         let size = Options { servers: Some(SERVERS), services: Some(2), ..options.clone() };
         let config = simulation_config(&size, controllers, None);
         let config = SimulationConfig { remote: options.real, ..config };
         let links = RealLinks::new(controllers, options.real).await?;
-        let folder = Folder::new(&format!("scale-{}", options.seed))?;
+        let folder = TempDir::new(&format!("scale-{}", options.seed))?;
         let mut processes = Vec::new();
         for me in options.beside_real..controllers {
             let mut settings = settings();
@@ -153,7 +153,9 @@
                 return Ok(());
             }
             if Instant::now() > end {
-                return Err(LabError::Serves(format!("a real controller hears {least} of {others} others")));
+                return Err(LabError::NotServing(format!(
+                    "a real controller hears {least} of {others} others"
+                )));
             }
         }
     }
@@ -219,7 +221,7 @@
 
     /// Calls of the real controllers that stood so far.
     fn stood(&self) -> u64 {
-        let answers = self.world.all().into_iter().filter(|seen| matches!(seen.what, What::Ready(_)));
+        let answers = self.world.events().into_iter().filter(|seen| matches!(seen.kind, EventKind::Ready(_)));
         answers.count() as u64
     }
 
--- a/crates/lockpoint-lab/src/scale/run.rs
+++ b/crates/lockpoint-lab/src/scale/run.rs
@@ -19,7 +19,7 @@
 use super::spread::{Delays, Spread};
 use super::topology::Topology;
 use super::traffic::{MeanMax, Traffic};
-use crate::under_test::{beside, used, LabError};
+use crate::under_test::{resource_usage, sibling_program, LabError};
 
 /// How long after the last start the memory of a fleet is read: all controllers hold their lists by then.
 const MEMORY_AFTER: Span = Span::from_millis(1_000);
@@ -190,7 +190,7 @@
 fn memory_kib(options: &Options, controllers: u16, before: u64, make: Option<MakeControlPlane>) -> f64 {
     let mut simulation = Simulation::new(simulation_config(options, controllers, make));
     simulation.run_until(simulation.began().plus(options.starts_within()).plus(MEMORY_AFTER));
-    let grown = used(std::process::id()).memory.saturating_sub(before);
+    let grown = resource_usage(std::process::id()).memory.saturating_sub(before);
     grown as f64 / 1_024.0 / f64::from(controllers)
 }
 
@@ -227,7 +227,7 @@
     std::fs::create_dir_all(&options.out).map_err(|e| LabError::file(&options.out, e))?;
     let mut sizes = options.all_sizes();
     sizes.sort_unstable();
-    let before = used(std::process::id()).memory;
+    let before = resource_usage(std::process::id()).memory;
     let memory: Vec<f64> =
         sizes.iter().map(|size| memory_kib(options, *size, before, make.clone())).collect();
     let jobs: Vec<Job> = sizes
@@ -241,7 +241,7 @@
     }
     if options.real > 0 {
         println!("{} real controllers beside {} hollow ones", options.real, options.beside_real);
-        rows.push(measure_real(options, &beside("lockpoint")).await?);
+        rows.push(measure_real(options, &sibling_program("lockpoint")).await?);
     }
     leave(options, &rows)
 }
--- a/crates/lockpoint-lab/src/scale/servers.rs
+++ b/crates/lockpoint-lab/src/scale/servers.rs
@@ -6,7 +6,7 @@
 use lockpoint::interface::{Cause, Cell, ServerState, Span, Time};
 use std::net::SocketAddr;
 
-use crate::processor::{Offer, Processor, ProcessorConfig};
+use crate::processor::{Admission, Processor, ProcessorConfig};
 
 /// How long a connection to a call server that is not there takes to fail.
 const REFUSED_AFTER: Span = Span::from_millis(2);
@@ -116,21 +116,21 @@
         if server.down {
             return (now.plus(REFUSED_AFTER), not_connected());
         }
-        let share = server.processor.share(now);
+        let share = server.processor.capacity_share(now);
         let offer = server.processor.offer(now);
         if share < 1.0 {
             let budget = self.config.overload_factor * self.config.capacity * share * self.window_seconds();
-            let sent = self.each[usize::from(number)].processor.pressure(now) * budget;
+            let sent = self.each[usize::from(number)].processor.overload_share(now) * budget;
             let allowed = budget + 2.0 * budget.sqrt() + 2.0;
             self.cold.set_ups += 1;
             self.cold.most_of_budget = self.cold.most_of_budget.max(sent / allowed);
         }
         match offer {
-            Offer::Taken(at) => (at, ServerEvent::Answered("y".into())),
-            Offer::TurnedAway(at, wait) => {
+            Admission::Accepted(at) => (at, ServerEvent::Answered("y".into())),
+            Admission::Rejected(at, wait) => {
                 (at, ServerEvent::Refused(Refusal::Full, Cause::ProcessorFullFor(wait), Vec::new()))
             }
-            Offer::Tipped => {
+            Admission::Crashed => {
                 self.each[usize::from(number)].down = true;
                 self.cold.fell += 1;
                 (now.plus(REFUSED_AFTER), not_connected())
--- a/crates/lockpoint-lab/src/scale/simulation/actions.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/actions.rs
@@ -6,7 +6,7 @@
 
 use super::event::{Action, Event};
 use super::{Simulation, DIRECTORY_DELAY};
-use crate::path::chance;
+use crate::path::random_fraction;
 use crate::scale::address::{Address, AddressBook};
 use crate::scale::control_plane::ChangeId;
 use crate::scale::controller::HollowController;
@@ -108,7 +108,7 @@
     pub(super) fn tell_all(&mut self, server: u16) {
         let lines = Rc::new(vec![self.servers.line(server)]);
         for controller in 0..self.config.controllers {
-            let at = self.now.plus(DIRECTORY_DELAY.scale(chance(&mut self.rng)));
+            let at = self.now.plus(DIRECTORY_DELAY.scale(random_fraction(&mut self.rng)));
             self.schedule(at, Event::Listed { controller, lines: lines.clone(), whole: false });
         }
     }
--- a/crates/lockpoint-lab/src/scale/simulation/mod.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/mod.rs
@@ -28,7 +28,7 @@
 use super::spread::Spread;
 use super::topology::Topology;
 use super::traffic::Traffic;
-use crate::path::chance;
+use crate::path::random_fraction;
 use crate::processor::ProcessorConfig;
 pub use event::{Action, RemoteDatagram};
 use event::{Event, Scheduled};
@@ -210,7 +210,7 @@
         let hollow = simulation.config.controllers - simulation.config.remote;
         let starting = (0..hollow).chain(simulation.config.controllers..members);
         for member in starting {
-            let offset = simulation.config.starts_within.scale(chance(&mut simulation.rng));
+            let offset = simulation.config.starts_within.scale(random_fraction(&mut simulation.rng));
             simulation.schedule(BEGIN.plus(offset), Event::Start(member));
         }
         let first = simulation.arrivals.next(BEGIN.plus(simulation.config.starts_within));
--- a/crates/lockpoint-lab/src/machine.rs
+++ b/crates/lockpoint-lab/src/server_model.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-use crate::processor::{Offer, Processor, ProcessorConfig};
+use crate::processor::{Admission, Processor, ProcessorConfig};
 use crate::world::{now, sleep_until};
 
 /// Lines that a call server says it has.
@@ -20,7 +20,7 @@
 
 /// What a call server says of a call, in time.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Says {
+pub enum ModelEvent {
     /// It stands.
     Answer,
     /// The processor is full, for a wait so long; with a report.
@@ -35,7 +35,7 @@
 
 /// A call server behind its wire.
 #[derive(Debug)]
-pub struct Machine {
+pub struct ServerModel {
     processor: RefCell<Processor>,
     hold: RefCell<(Exp<f64>, Pcg64Mcg)>,
     /// Set-ups that are neither answered nor given up.
@@ -48,12 +48,12 @@
     changed: Notify,
 }
 
-impl Machine {
+impl ServerModel {
     /// A machine that has been up for long; calls stand for `hold_ms` in the mean, exponentially.
-    pub fn new(config: ProcessorConfig, hold_ms: u64, seed: u64) -> Rc<Machine> {
+    pub fn new(config: ProcessorConfig, hold_ms: u64, seed: u64) -> Rc<ServerModel> {
         let rate = 1.0 / (hold_ms.max(1) as f64 / 1000.0);
         let exp = Exp::new(rate).unwrap_or_else(|_| unreachable!("a rate above 0"));
-        Rc::new(Machine {
+        Rc::new(ServerModel {
             processor: RefCell::new(Processor::new(config, seed)),
             hold: RefCell::new((exp, Pcg64Mcg::seed_from_u64(seed ^ 0x686f_6c64))),
             open: RefCell::default(),
@@ -76,7 +76,7 @@
     }
 
     /// From now on it answers with errors, or no longer.
-    pub fn set_errs(&self, errs: bool) {
+    pub fn set_failing(&self, errs: bool) {
         self.errs.set(errs);
     }
 
@@ -86,14 +86,14 @@
     }
 
     /// Its process is gone, and all its calls with it.
-    pub fn dies(&self) {
+    pub fn clear_calls(&self) {
         self.open.borrow_mut().clear();
         self.standing.borrow_mut().clear();
     }
 
     /// Its process starts anew, and cold.
-    pub fn starts(&self) {
-        self.dies();
+    pub fn restart(&self) {
+        self.clear_calls();
         self.processor.borrow_mut().start(now());
         self.set_silent(false);
     }
@@ -104,7 +104,7 @@
     }
 
     /// A set-up was given up, or a call that stood ended by the controller. `true`: it stood.
-    pub fn ended(&self, sid: &str) -> bool {
+    pub fn end_call(&self, sid: &str) -> bool {
         self.open.borrow_mut().remove(sid);
         self.standing.borrow_mut().remove(sid)
     }
@@ -117,34 +117,34 @@
     }
 
     /// Takes a set-up: what follows from it is said in time, unless the call ends before.
-    pub fn take(self: &Rc<Self>, sid: &str, say: impl Fn(Says) + 'static) {
+    pub fn handle_set_up(self: &Rc<Self>, sid: &str, say: impl Fn(ModelEvent) + 'static) {
         let offer = self.processor.borrow_mut().offer(now());
-        if offer == Offer::Tipped {
-            return say(Says::Down);
+        if offer == Admission::Crashed {
+            return say(ModelEvent::Down);
         }
         self.open.borrow_mut().insert(sid.to_owned());
         let (machine, sid) = (self.clone(), sid.to_owned());
         spawn_local(async move { machine.carry(&sid, offer, say).await });
     }
 
-    async fn carry(&self, sid: &str, offer: Offer, say: impl Fn(Says)) {
+    async fn carry(&self, sid: &str, offer: Admission, say: impl Fn(ModelEvent)) {
         let (at, wait) = match offer {
-            Offer::Taken(at) => (at, None),
-            Offer::TurnedAway(at, wait) => (at, Some(wait)),
-            Offer::Tipped => return,
+            Admission::Accepted(at) => (at, None),
+            Admission::Rejected(at, wait) => (at, Some(wait)),
+            Admission::Crashed => return,
         };
         self.speaks_at(at).await;
         if !self.open.borrow_mut().remove(sid) {
             return;
         }
         if let Some(wait) = wait {
-            return say(Says::Full(wait, self.report()));
+            return say(ModelEvent::Full(wait, self.report()));
         }
         if self.errs.get() {
-            return say(Says::Error);
+            return say(ModelEvent::Error);
         }
         self.standing.borrow_mut().insert(sid.to_owned());
-        say(Says::Answer);
+        say(ModelEvent::Answer);
         let hold = {
             let (exp, rng) = &mut *self.hold.borrow_mut();
             exp.sample(rng)
@@ -156,7 +156,7 @@
         let said = self.processor.borrow_mut().release(now());
         self.speaks_at(said).await;
         if self.standing.borrow_mut().remove(sid) {
-            say(Says::Release(self.report()));
+            say(ModelEvent::Release(self.report()));
         }
     }
 
--- a/crates/lockpoint-lab/src/sip.rs
+++ b/crates/lockpoint-lab/src/sip.rs
@@ -1,4 +1,4 @@
-//! A SIP call server on a socket: what a test tells it to do, or a [`Machine`] behind it.
+//! A SIP call server on a socket: what a test tells it to do, or a [`ServerModel`] behind it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,11 +12,11 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, JoinHandle};
 
-use crate::machine::{Machine, Says};
-use crate::world::{What, World};
+use crate::server_model::{ModelEvent, ServerModel};
+use crate::world::{EventKind, EventLog};
 
 /// Writes in pieces of so many bytes, each a packet of its own; 0: whole.
-pub async fn write_in(
+pub async fn write_in_pieces(
     pieces: usize,
     writer: &mut (impl AsyncWriteExt + Unpin),
     bytes: &[u8],
@@ -32,7 +32,7 @@
 
 /// What a call server does with a set-up.
 #[derive(Debug, Clone)]
-pub enum Does {
+pub enum ServerBehaviour {
     /// Answers with this description.
     Answer(String),
     /// Refuses with this code (SIP) or cause (IAX2) and these SIP headers.
@@ -40,13 +40,13 @@
     /// Nothing.
     Silent,
     /// Says this as it stands, `{sid}` being the call's name (SIP).
-    Say(String),
+    Raw(String),
     /// What a model of a call server does.
-    Model(Rc<Machine>),
+    Model(Rc<ServerModel>),
 }
 
 /// The description that a modelled call server gives for a call.
-pub fn answer_to(sid: &str) -> String {
+pub fn model_answer(sid: &str) -> String {
     format!("{sid}\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n")
 }
 
@@ -59,10 +59,10 @@
     /// Where it listens.
     pub at: SocketAddr,
     /// What it does with a set-up.
-    pub does: RefCell<Does>,
+    pub behaviour: RefCell<ServerBehaviour>,
     /// It writes in pieces of so many bytes; 0: whole.
     pub pieces: Cell<usize>,
-    world: World,
+    world: EventLog,
     connections: RefCell<Vec<(Writer, Rc<Notify>)>>,
     listening: RefCell<Option<JoinHandle<()>>>,
     /// Releases that found no connection open.
@@ -74,12 +74,12 @@
 
 impl SipServer {
     /// Starts one on a port that the system picks.
-    pub async fn start(world: &World, name: &str, does: Does) -> Rc<SipServer> {
+    pub async fn start(world: &EventLog, name: &str, does: ServerBehaviour) -> Rc<SipServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = Rc::new(SipServer {
             name: name.to_owned(),
             at: listener.local_addr().expect("an address"),
-            does: RefCell::new(does),
+            behaviour: RefCell::new(does),
             pieces: Cell::new(0),
             world: world.clone(),
             connections: RefCell::default(),
@@ -106,8 +106,8 @@
         let reset = Rc::new(Notify::new());
         self.connections.borrow_mut().retain(|(writer, _)| !writer.is_closed());
         self.connections.borrow_mut().push((writer.clone(), reset.clone()));
-        let report = match &*self.does.borrow() {
-            Does::Model(machine) => machine.report(),
+        let report = match &*self.behaviour.borrow() {
+            ServerBehaviour::Model(machine) => machine.report(),
             // No queue: a test sets what the processor says by what it does with a set-up. An empty one, said on a
             // connection that comes up late, would take back a wait that the test has just let somebody see.
             _ => "x0:500;x1:500;util:0.1".to_owned(),
@@ -126,7 +126,7 @@
             let mut chunk = [0; 4096];
             tokio::select! {
                 Some(out) = queue.recv() => {
-                    if write_in(self.pieces.get(), &mut stream, &out).await.is_err() { return; }
+                    if write_in_pieces(self.pieces.get(), &mut stream, &out).await.is_err() { return; }
                 }
                 _ = reset.notified() => {
                     let _ = stream.set_zero_linger();
@@ -153,10 +153,10 @@
             }
             return;
         };
-        let note = |what| self.world.note(&self.name, &m.call_id, what);
-        let does = self.does.borrow().clone();
+        let note = |what| self.world.record(&self.name, &m.call_id, what);
+        let does = self.behaviour.borrow().clone();
         let heard = || {
-            let mute = matches!(&does, Does::Model(machine) if machine.silent());
+            let mute = matches!(&does, ServerBehaviour::Model(machine) if machine.silent());
             if !mute {
                 let _ = writer.send(response(200, m, "", ""));
             }
@@ -164,37 +164,38 @@
         match method.as_str() {
             "INVITE" => {
                 let body = String::from_utf8_lossy(&m.body).into_owned();
-                note(What::SetUp(m.kind.clone(), m.number.clone(), body));
+                note(EventKind::SetUp(m.kind.clone(), m.number.clone(), body));
                 match does {
-                    Does::Answer(description) => {
-                        note(What::Answered(description.clone()));
+                    ServerBehaviour::Answer(description) => {
+                        note(EventKind::Answered(description.clone()));
                         let _ = writer.send(response(200, m, "", &description));
                     }
-                    Does::Refuse(code, headers) => {
-                        note(What::Refused);
+                    ServerBehaviour::Refuse(code, headers) => {
+                        note(EventKind::Refused);
                         let _ = writer.send(response(code, m, &headers, ""));
                     }
-                    Does::Silent => {}
-                    Does::Say(text) => {
+                    ServerBehaviour::Silent => {}
+                    ServerBehaviour::Raw(text) => {
                         let _ = writer.send(text.replace("{sid}", &m.call_id).into_bytes());
                     }
-                    Does::Model(machine) => {
+                    ServerBehaviour::Model(machine) => {
                         let (server, m, writer) = (self.clone(), m.clone(), writer.clone());
-                        machine.take(&m.call_id.clone(), move |says| server.say_of(&m, &writer, says));
+                        machine
+                            .handle_set_up(&m.call_id.clone(), move |says| server.say_of(&m, &writer, says));
                     }
                 }
             }
             "CANCEL" => {
-                note(What::Cancel);
-                if let Does::Model(machine) = &does {
-                    machine.ended(&m.call_id);
+                note(EventKind::Cancel);
+                if let ServerBehaviour::Model(machine) = &does {
+                    machine.end_call(&m.call_id);
                 }
                 heard();
             }
             "BYE" => {
-                note(What::Bye(m.cause.unwrap_or(0)));
-                if let Does::Model(machine) = &does {
-                    machine.ended(&m.call_id);
+                note(EventKind::Bye(m.cause.unwrap_or(0)));
+                if let ServerBehaviour::Model(machine) = &does {
+                    machine.end_call(&m.call_id);
                 }
                 heard();
             }
@@ -203,34 +204,34 @@
     }
 
     /// What its model says of a set-up.
-    fn say_of(&self, m: &message::Message, writer: &Writer, says: Says) {
-        let note = |what| self.world.note(&self.name, &m.call_id, what);
+    fn say_of(&self, m: &message::Message, writer: &Writer, says: ModelEvent) {
+        let note = |what| self.world.record(&self.name, &m.call_id, what);
         let bytes = match says {
-            Says::Answer => {
-                let description = answer_to(&m.call_id);
-                note(What::Answered(description.clone()));
+            ModelEvent::Answer => {
+                let description = model_answer(&m.call_id);
+                note(EventKind::Answered(description.clone()));
                 response(200, m, "", &description)
             }
-            Says::Full(wait, report) => {
-                note(What::Refused);
+            ModelEvent::Full(wait, report) => {
+                note(EventKind::Refused);
                 let ms = wait.0 / 1000;
                 let headers = format!("P-Reason: queue_long\r\nP-Line-Ms: {ms}\r\nP-Report: {report}\r\n");
                 response(503, m, &headers, "")
             }
-            Says::Error => {
-                note(What::Refused);
+            ModelEvent::Error => {
+                note(EventKind::Refused);
                 response(500, m, "", "")
             }
-            Says::Release(report) => {
+            ModelEvent::Release(report) => {
                 return self.release_with(&m.call_id, 16, &format!("P-Report: {report}\r\n"));
             }
-            Says::Down => {
-                self.world.note(&self.name, "", What::Tipped);
+            ModelEvent::Down => {
+                self.world.record(&self.name, "", EventKind::Tipped);
                 return self.die();
             }
         };
         if writer.send(bytes.clone()).is_err() {
-            self.say(&bytes);
+            self.send(&bytes);
         }
     }
 
@@ -243,7 +244,7 @@
     }
 
     /// Waits until all its connections have ended: what it says from then on waits for the next one.
-    pub async fn until_alone(&self) {
+    pub async fn wait_until_disconnected(&self) {
         let gone = async {
             while self.connections.borrow().iter().any(|(writer, _)| !writer.is_closed()) {
                 tokio::time::sleep(std::time::Duration::from_millis(2)).await;
@@ -258,18 +259,18 @@
     }
 
     fn release_with(&self, sid: &str, cause: u16, headers: &str) {
-        self.world.note(&self.name, sid, What::Released);
+        self.world.record(&self.name, sid, EventKind::Released);
         let Some(name) = Sid::parse(sid) else { return };
         let headers = format!("Reason: Q.850;cause={cause}\r\n{headers}");
         let release = message::request("BYE", "peer", name, (7, "BYE"), &headers, "");
         if let Some(on) = self.open_connection() {
             self.unheard.borrow_mut().insert(sid.to_owned(), (on, release.to_vec()));
         }
-        self.say(&release);
+        self.send(&release);
     }
 
     /// Says something on the oldest connection that is open, else on the next one.
-    pub fn say(&self, bytes: &[u8]) {
+    pub fn send(&self, bytes: &[u8]) {
         match self.open_connection() {
             Some(writer) => drop(writer.send(bytes.to_vec())),
             None => self.owed.borrow_mut().push(bytes.to_vec()),
@@ -287,26 +288,26 @@
         if let Some(listening) = self.listening.take() {
             listening.abort();
         }
-        if let Does::Model(machine) = &*self.does.borrow() {
-            machine.dies();
-            self.world.note(&self.name, "", What::Died);
+        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
+            machine.clear_calls();
+            self.world.record(&self.name, "", EventKind::Died);
         }
         self.owed.borrow_mut().clear();
         self.unheard.borrow_mut().clear();
-        self.reset();
+        self.reset_connections();
     }
 
     /// The process starts again at its address, and cold.
-    pub async fn start_again(self: &Rc<Self>) -> std::io::Result<()> {
-        if let Does::Model(machine) = &*self.does.borrow() {
-            machine.starts();
+    pub async fn restart(self: &Rc<Self>) -> std::io::Result<()> {
+        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
+            machine.restart();
         }
         self.listen(TcpListener::bind(self.at).await?);
         Ok(())
     }
 
     /// Its connections are reset.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.connections.borrow_mut().drain(..).for_each(|(_, reset)| reset.notify_one());
     }
 }
--- a/crates/lockpoint-lab/src/under_test.rs
+++ b/crates/lockpoint-lab/src/under_test.rs
@@ -32,7 +32,7 @@
     },
     /// It does not come to serve.
     #[error("the controller does not serve: {0}")]
-    Serves(String),
+    NotServing(String),
     /// A file of the laboratory cannot be read or written.
     #[error("{}: {why}", file.display())]
     File {
@@ -60,7 +60,7 @@
 
 /// What a process has used.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Used {
+pub struct ResourceUsage {
     /// Seconds of a processor.
     pub cpu: f64,
     /// Bytes of memory that it holds.
@@ -68,21 +68,21 @@
 }
 
 /// What a process has used so far, as the kernel counts it; nothing where it is gone.
-pub fn used(pid: u32) -> Used {
+pub fn resource_usage(pid: u32) -> ResourceUsage {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     // The name, in brackets, may hold anything; what follows it counts from field 3 on.
     let fields: Vec<&str> = stat.rsplit_once(") ").map_or("", |(_, rest)| rest).split(' ').collect();
     let field = |n: usize| fields.get(n - 3).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-    Used { cpu: (field(14) + field(15)) as f64 / TICKS, memory: field(24) * PAGE }
+    ResourceUsage { cpu: (field(14) + field(15)) as f64 / TICKS, memory: field(24) * PAGE }
 }
 
 /// The program beside the laboratory's own.
-pub fn beside(name: &str) -> PathBuf {
+pub fn sibling_program(name: &str) -> PathBuf {
     std::env::current_exe().ok().and_then(|me| Some(me.parent()?.join(name))).unwrap_or_else(|| name.into())
 }
 
 /// Starts a program that ends with us.
-pub fn start(program: &Path, args: &[&str], quiet: bool) -> Result<Child, LabError> {
+pub fn spawn(program: &Path, args: &[&str], quiet: bool) -> Result<Child, LabError> {
     let stderr = if quiet { Stdio::null() } else { Stdio::inherit() };
     tokio::process::Command::new(program)
         .args(args)
@@ -96,14 +96,14 @@
 
 /// A folder of its own for one run; removed at its end.
 #[derive(Debug)]
-pub struct Folder(PathBuf);
+pub struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     /// Makes one.
-    pub fn new(name: &str) -> Result<Folder, LabError> {
+    pub fn new(name: &str) -> Result<TempDir, LabError> {
         let path = std::env::temp_dir().join(format!("lockpoint-lab-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|e| LabError::file(&path, e))?;
-        Ok(Folder(path))
+        Ok(TempDir(path))
     }
     /// Where it is.
     pub fn path(&self) -> &Path {
@@ -111,7 +111,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -129,18 +129,18 @@
 impl Agent {
     /// Starts an agent with an operator's file whose `control` is `control`.
     pub fn start(program: &Path, config: &Path, control: &Path, quiet: bool) -> Result<Agent, LabError> {
-        let child = start(program, &["agent", "--config", &config.to_string_lossy()], quiet)?;
+        let child = spawn(program, &["agent", "--config", &config.to_string_lossy()], quiet)?;
         let pid = child.id().unwrap_or(0);
         Ok(Agent { child, control: control.to_owned(), pid })
     }
 
     async fn ask(&self, command: Command) -> Result<Reply, LabError> {
         let request = Request { command, instance: None };
-        ask(&self.control, &request).await.map_err(|e| LabError::Serves(e.to_string()))
+        ask(&self.control, &request).await.map_err(|e| LabError::NotServing(e.to_string()))
     }
 
     /// Its instances, once `ready` says so of all of them.
-    pub async fn until(
+    pub async fn wait_until(
         &mut self,
         ready: impl Fn(&InstanceStatus) -> bool,
     ) -> Result<Vec<InstanceStatus>, LabError> {
@@ -148,7 +148,7 @@
         let until = tokio::time::Instant::now() + PATIENCE;
         while tokio::time::Instant::now() < until {
             if let Ok(Some(ended)) = self.child.try_wait() {
-                return Err(LabError::Serves(format!("it has ended ({ended})")));
+                return Err(LabError::NotServing(format!("it has ended ({ended})")));
             }
             match self.ask(Command::Status).await {
                 Ok(Reply::Status { instances }) if instances.iter().all(&ready) => return Ok(instances),
@@ -157,7 +157,7 @@
             }
             tokio::time::sleep(ASK_EVERY).await;
         }
-        Err(LabError::Serves(why))
+        Err(LabError::NotServing(why))
     }
 
     /// The counters of all its instances.
@@ -167,8 +167,8 @@
     }
 
     /// What it has used.
-    pub fn used(&self) -> Used {
-        used(self.pid)
+    pub fn used(&self) -> ResourceUsage {
+        resource_usage(self.pid)
     }
 
     /// Ends it at once.
@@ -187,5 +187,5 @@
 /// The address in a status line.
 pub fn address(text: &Option<String>, key: &str) -> Result<SocketAddr, LabError> {
     let parsed = text.as_deref().and_then(|text| text.parse().ok());
-    parsed.ok_or_else(|| LabError::Serves(format!("it does not listen at '{key}'")))
+    parsed.ok_or_else(|| LabError::NotServing(format!("it does not listen at '{key}'")))
 }
--- a/crates/lockpoint-lab/src/world.rs
+++ b/crates/lockpoint-lab/src/world.rs
@@ -25,7 +25,7 @@
 /// What the list says of a call server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[allow(missing_docs)] // the names say it
-pub enum News {
+pub enum ListedState {
     Ready,
     Draining,
     Gone,
@@ -33,7 +33,7 @@
 
 /// What a stand-in saw.
 #[derive(Debug, Clone, PartialEq)]
-pub enum What {
+pub enum EventKind {
     /// A set-up reached a call server: class, number, description.
     SetUp(String, String, String),
     /// A set-up was given up there.
@@ -67,44 +67,44 @@
     /// A list was put on the bulletin.
     Told(String),
     /// The list has news of a call server, `who`; a directory that is asked now and then may tell this much later.
-    News(News, Duration),
+    News(ListedState, Duration),
 }
 
 /// One thing seen.
 #[derive(Debug, Clone)]
 #[allow(missing_docs)] // the names say it
-pub struct Seen {
+pub struct RecordedEvent {
     pub at: Instant,
     /// Which stand-in saw it.
-    pub who: String,
+    pub source: String,
     /// The call, as 16 hex digits; empty where it is about none.
     pub sid: String,
-    pub what: What,
+    pub kind: EventKind,
 }
 
 #[derive(Default)]
 struct Inner {
-    seen: RefCell<Vec<Seen>>,
+    seen: RefCell<Vec<RecordedEvent>>,
     changed: Notify,
-    taps: RefCell<Vec<mpsc::UnboundedSender<Seen>>>,
+    taps: RefCell<Vec<mpsc::UnboundedSender<RecordedEvent>>>,
     forgets: Cell<bool>,
 }
 
 /// What all stand-ins saw, in order.
 #[derive(Clone, Default)]
-pub struct World(Rc<Inner>);
+pub struct EventLog(Rc<Inner>);
 
-impl World {
+impl EventLog {
     /// One that keeps nothing: what is seen goes to the taps alone, so that a long experiment does not swell.
-    pub fn forgetful() -> World {
-        let world = World::default();
+    pub fn without_history() -> EventLog {
+        let world = EventLog::default();
         world.0.forgets.set(true);
         world
     }
 
     /// Writes down what was seen.
-    pub fn note(&self, who: &str, sid: &str, what: What) {
-        let seen = Seen { at: Instant::now(), who: who.to_owned(), sid: sid.to_owned(), what };
+    pub fn record(&self, source: &str, sid: &str, kind: EventKind) {
+        let seen = RecordedEvent { at: Instant::now(), source: source.to_owned(), sid: sid.to_owned(), kind };
         self.0.taps.borrow().iter().for_each(|tap| drop(tap.send(seen.clone())));
         if !self.0.forgets.get() {
             self.0.seen.borrow_mut().push(seen);
@@ -113,33 +113,39 @@
     }
 
     /// All that is seen from now on.
-    pub fn tap(&self) -> mpsc::UnboundedReceiver<Seen> {
+    pub fn subscribe(&self) -> mpsc::UnboundedReceiver<RecordedEvent> {
         let (tap, seen) = mpsc::unbounded_channel();
         self.0.taps.borrow_mut().push(tap);
         seen
     }
 
     /// All that was seen so far.
-    pub fn all(&self) -> Vec<Seen> {
+    pub fn events(&self) -> Vec<RecordedEvent> {
         self.0.seen.borrow().clone()
     }
 
     /// How many were seen.
-    pub fn count(&self, which: impl Fn(&Seen) -> bool) -> usize {
+    pub fn count(&self, which: impl Fn(&RecordedEvent) -> bool) -> usize {
         self.0.seen.borrow().iter().filter(|seen| which(seen)).count()
     }
 
     /// Waits until something was seen.
-    pub async fn until(&self, name: &str, which: impl Fn(&Seen) -> bool) -> Seen {
-        self.until_all(name, 1, which).await.remove(0)
+    pub async fn wait_for(&self, name: &str, which: impl Fn(&RecordedEvent) -> bool) -> RecordedEvent {
+        self.wait_for_count(name, 1, which).await.remove(0)
     }
 
     /// Waits until so many were seen; panics, with what was seen last, where they never are.
-    pub async fn until_all(&self, name: &str, n: usize, which: impl Fn(&Seen) -> bool) -> Vec<Seen> {
+    pub async fn wait_for_count(
+        &self,
+        name: &str,
+        n: usize,
+        which: impl Fn(&RecordedEvent) -> bool,
+    ) -> Vec<RecordedEvent> {
         let wait = async {
             loop {
                 let changed = self.0.changed.notified();
-                let found: Vec<Seen> = self.0.seen.borrow().iter().filter(|s| which(s)).cloned().collect();
+                let found: Vec<RecordedEvent> =
+                    self.0.seen.borrow().iter().filter(|s| which(s)).cloned().collect();
                 if found.len() >= n {
                     return found;
                 }
@@ -150,15 +156,16 @@
             Ok(found) => found,
             Err(_) => panic!(
                 "never seen: {name}; seen: {:#?}",
-                self.all().iter().rev().take(30).collect::<Vec<_>>()
+                self.events().iter().rev().take(30).collect::<Vec<_>>()
             ),
         }
     }
 
     /// The one final answer of a call.
-    pub async fn answer(&self, sid: &str) -> Seen {
-        let final_one = |s: &Seen| s.sid == sid && matches!(s.what, What::Ready(_) | What::Close(..));
-        self.until(&format!("an answer to {sid}"), final_one).await
+    pub async fn final_answer(&self, sid: &str) -> RecordedEvent {
+        let final_one =
+            |s: &RecordedEvent| s.sid == sid && matches!(s.kind, EventKind::Ready(_) | EventKind::Close(..));
+        self.wait_for(&format!("an answer to {sid}"), final_one).await
     }
 }
 
--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -7,12 +7,15 @@
 use lockpoint::counters::Counters;
 use rstest::rstest;
 use serde_json::json;
-use support::{host, name, on_one_thread, Bulletin, Caller, Controller, Does, SipServer, What, World};
+use support::{
+    list_entry, name, on_one_thread, Bulletin, Caller, Controller, EventKind, EventLog, ServerBehaviour,
+    SipServer,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
 /// What a bad client hears until it is closed or told, at most 3 s after it connected.
@@ -65,9 +68,9 @@
 #[case::one_name_for_two([open(&name(1), ("x", "x")), open(&name(1), ("\"x\"", "\"z\""))].concat(), "close")]
 fn a_bad_client_is_turned_away_in_time_and_never_served(#[case] says: Vec<u8>, #[case] answer: &str) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         // It answers nothing: what a bad client gets, it gets from the controller.
-        let (controller, _servers, _) = Controller::with_servers(&world, &[Does::Silent]).await;
+        let (controller, _servers, _) = Controller::with_servers(&world, &[ServerBehaviour::Silent]).await;
         let heard = heard(controller.at, &says).await;
         assert!(!heard.contains("ready"), "{heard}");
         assert!(heard.contains(answer), "{heard}");
@@ -80,10 +83,10 @@
 #[test]
 fn silent_connections_fill_no_room_that_a_caller_needs() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", answers("a")).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         let mut config = support::config(bulletin.at);
         config.limits.sockets = 64;
         let room = config.limits.callers();
@@ -95,10 +98,10 @@
         }
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
         assert!(controller.instance.counters().clients <= room);
         server.release(&name(1), 16);
-        world.until("the release", |s| s.what == What::Close(16, None)).await;
+        world.wait_for("the release", |s| s.kind == EventKind::Close(16, None)).await;
     });
 }
 
@@ -106,8 +109,8 @@
 #[test]
 fn one_caller_holds_no_more_than_its_share() {
     on_one_thread(async {
-        let world = World::default();
-        let (controller, _servers, _) = Controller::with_servers(&world, &[Does::Silent]).await;
+        let world = EventLog::default();
+        let (controller, _servers, _) = Controller::with_servers(&world, &[ServerBehaviour::Silent]).await;
         let greedy = Caller::connect(&world, "greedy", controller.at).await;
         // All at once: had they come over more than 0.7 s, as on a busy machine, the silent call server would be
         // found out meanwhile, and the later ones refused for that.
@@ -115,9 +118,9 @@
             let attrs = json!({"class": "judge-call", "left": "9000", "key": "7f", "extras": "dest:0;width:1;via:-1"});
             format!("{}\n", json!({"msg": "open", "sid": name(n), "attrs": attrs, "text": "x"}))
         };
-        greedy.say((0..400).map(ask).collect::<String>().as_bytes()).await;
-        let refused = |s: &support::Seen| matches!(s.what, What::Close(42, Some(_)));
-        world.until_all("those beyond its share", 144, refused).await;
+        greedy.send((0..400).map(ask).collect::<String>().as_bytes()).await;
+        let refused = |s: &support::RecordedEvent| matches!(s.kind, EventKind::Close(42, Some(_)));
+        world.wait_for_count("those beyond its share", 144, refused).await;
         assert_eq!(controller.instance.counters().open, 256);
         let usual = Caller::connect(&world, "usual", controller.at).await;
         usual.open(&name(1_000), 9_000, 0, "x").await;
@@ -129,24 +132,28 @@
 #[test]
 fn nobody_takes_a_name_that_is_anothers() {
     on_one_thread(async {
-        let world = World::default();
-        let (controller, servers, _) = Controller::with_servers(&world, &[Does::Silent]).await;
+        let world = EventLog::default();
+        let (controller, servers, _) = Controller::with_servers(&world, &[ServerBehaviour::Silent]).await;
         let usual = Caller::connect(&world, "usual", controller.at).await;
         usual.open(&name(1), 9_000, 0, "x").await;
-        world.until("the set-up", |s| matches!(s.what, What::SetUp(..))).await;
+        world.wait_for("the set-up", |s| matches!(s.kind, EventKind::SetUp(..))).await;
         let bad = Caller::connect(&world, "bad", controller.at).await;
         bad.close(&name(1), 16).await;
         bad.open(&name(1), 9_000, 0, "z").await;
-        world.until("it is turned away", |s| s.who == "bad" && matches!(s.what, What::Close(31, _))).await;
+        world
+            .wait_for("it is turned away", |s| s.source == "bad" && matches!(s.kind, EventKind::Close(31, _)))
+            .await;
         let call = lockpoint::core::Sid::parse(&name(1)).expect("a name");
         let answer =
             format!("SIP/2.0 200 OK\r\nCall-ID: {call}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\na");
-        servers[0].say(answer.as_bytes());
-        let served = world.until("the answer", |s| s.what == What::Ready("a".into())).await;
-        assert_eq!((served.who.as_str(), served.sid), ("usual", name(1)));
+        servers[0].send(answer.as_bytes());
+        let served = world.wait_for("the answer", |s| s.kind == EventKind::Ready("a".into())).await;
+        assert_eq!((served.source.as_str(), served.sid), ("usual", name(1)));
         // It stands: its name is still nobody else's.
         bad.open(&name(1), 9_000, 0, "x").await;
-        world.until_all("away", 2, |s| s.who == "bad" && matches!(s.what, What::Close(31, _))).await;
+        world
+            .wait_for_count("away", 2, |s| s.source == "bad" && matches!(s.kind, EventKind::Close(31, _)))
+            .await;
         let Counters { completed, standing, .. } = controller.instance.counters();
         assert_eq!((completed, standing), (1, 1));
     });
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -10,7 +10,10 @@
 
 use rstest::rstest;
 use serde_json::{json, Value};
-use support::{host, in_time, name, on_one_thread, settings, Bulletin, Caller, Does, SipServer, What, World};
+use support::{
+    in_time, list_entry, name, on_one_thread, settings, Bulletin, Caller, EventKind, EventLog,
+    ServerBehaviour, SipServer,
+};
 
 /// The program on the platform's path, its log read by a thread.
 struct Program {
@@ -82,7 +85,7 @@
     listener.local_addr().expect("an address").to_string()
 }
 
-async fn connect(world: &World, at: &str) -> Caller {
+async fn connect(world: &EventLog, at: &str) -> Caller {
     in_time("it listens", async {
         loop {
             match Caller::try_connect(world, "c", at.parse().expect("an address")).await {
@@ -94,13 +97,13 @@
     .await
 }
 
-async fn serves(world: &World, caller: &Caller, n: u64) {
+async fn serves(world: &EventLog, caller: &Caller, n: u64) {
     in_time("a call stands", async {
         let mut n = n;
         loop {
             caller.open(&name(n), 2_000, 0, "x").await;
-            match world.answer(&name(n)).await.what {
-                What::Ready(_) => return,
+            match world.final_answer(&name(n)).await.kind {
+                EventKind::Ready(_) => return,
                 _ => n += 1, // no list yet
             }
         }
@@ -117,15 +120,15 @@
     {"host": "s0", "dial": "nowhere", "health": "gone"}]}}), "event 2: a line")]
 fn a_spoilt_list_is_one_line(#[case] test: &str, #[case] spoilt: Value, #[case] why: &str) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".into())).await;
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         let (listen, at) = (a_port(), bulletin.at.to_string());
         let mut program = Program::start(test, &listen, &at);
         let caller = connect(&world, &listen).await;
         serves(&world, &caller, 1).await;
-        bulletin.tell_raw(spoilt);
+        bulletin.publish_raw(spoilt);
         program.says(&["fails", "party=\"bulletin\"", &at, "follows its event 1", why]).await;
         program.says(&["passed over; what was known stays", why]).await;
         serves(&world, &caller, 100).await;
@@ -138,15 +141,15 @@
 #[test]
 fn a_spoilt_answer_is_one_line() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".into())).await;
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         let listen = a_port();
         let mut program = Program::start("answer", &listen, &bulletin.at.to_string());
         let caller = connect(&world, &listen).await;
         serves(&world, &caller, 1).await;
-        server.say(b"SIP/2.0 OK 200\r\nContent-Length: nine\r\n\r\n");
+        server.send(b"SIP/2.0 OK 200\r\nContent-Length: nine\r\n\r\n");
         let at = server.at.to_string();
         program.says(&["fails", "party=\"call server's messages\"", &at, "message"]).await;
         serves(&world, &caller, 100).await;
@@ -166,10 +169,10 @@
 #[case::an_unknown_word("classes", json!([{"name": "judge-call", "goal-time-us": 1, "worth": 1, "semantics": "at_times"}]), "settings.classes[0].semantics")]
 fn a_spoilt_setting_is_one_line(#[case] key: &str, #[case] value: Value, #[case] named: &str) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".into())).await;
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         let (listen, at) = (a_port(), bulletin.at.to_string());
         let mut program =
             Program::start(&format!("{key}-{}", named.replace(['[', ']', '.'], "-")), &listen, &at);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -15,18 +15,20 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use support::iax2::{Resolver, SERVICE};
-use support::{config, in_time, name, on_one_thread, Caller, Controller, Hand, Seen, What, World};
+use support::{
+    config, in_time, name, on_one_thread, Caller, Controller, EventKind, EventLog, Hand, RecordedEvent,
+};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
 const REST: Duration = Duration::from_millis(500);
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && seen.what == what
+fn is(sid: &str, what: EventKind) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && seen.kind == what
 }
 
-fn finals(world: &World, sid: &str) -> usize {
-    world.count(|s| s.sid == sid && matches!(s.what, What::Ready(_) | What::Close(..)))
+fn finals(world: &EventLog, sid: &str) -> usize {
+    world.count(|s| s.sid == sid && matches!(s.kind, EventKind::Ready(_) | EventKind::Close(..)))
 }
 
 // ---- Shutdown ------------------------------------------------------------------------------------------------
@@ -35,7 +37,7 @@
 #[test]
 fn sigterm_with_a_set_up_out() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -45,7 +47,7 @@
         controller.ask_to_stop();
         controller.turns("it stops", |i| i.stopping()).await;
         wire.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.completed, finals(&world, &name(1))), (0, 1, 1));
     });
@@ -55,7 +57,7 @@
 #[test]
 fn sigterm_with_a_call_waiting_for_its_rest() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -69,7 +71,7 @@
         wire.hears("INVITE").await;
         assert!(reset.elapsed() >= REST, "after {:?}", reset.elapsed());
         wire.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.attempts, finals(&world, &name(1))), (0, 2, 1));
     });
@@ -79,7 +81,7 @@
 #[test]
 fn sigterm_with_a_set_up_on_a_connection_coming_up() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (hand, fill) = Hand::full("s0").await;
         let long = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = Span::from_millis(60_000);
@@ -103,7 +105,7 @@
                 _ => kept.push(wire),
             }
         }
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.attempts, finals(&world, &name(1))), (0, 1, 1));
     });
@@ -113,7 +115,7 @@
 #[test]
 fn sigterm_and_a_caller_who_comes_late() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -136,7 +138,7 @@
         in_time("a late one is refused", refused).await;
         assert_eq!(controller.instance.counters().open, 1, "what was taken is still seen to");
         wire.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         controller.stop().await;
     });
 }
@@ -145,7 +147,7 @@
 #[test]
 fn sigterm_closes_a_connection_on_which_a_call_is_ended() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -185,7 +187,7 @@
     #[values(OurClose::Unspoken, OurClose::Idle, OurClose::Sigterm)] closes: OurClose,
 ) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -218,7 +220,7 @@
             again.open(&name(2), 9_000, 0, "x").await;
             assert_eq!(wire.hears("INVITE").await, name(2));
             wire.answers(&name(2), "y").await;
-            assert_eq!(world.answer(&name(2)).await.what, What::Ready("y".into()));
+            assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("y".into()));
             taken = 1;
         }
         drop(crossed);
@@ -235,7 +237,7 @@
 #[test]
 fn sigterm_and_half_a_set_up() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -269,7 +271,7 @@
 #[test]
 fn sigterm_and_a_caller_who_gives_up() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -305,7 +307,7 @@
     #[values(Closes::Unread, Closes::Read, Closes::Answered, Closes::HalfAnswered)] closes: Closes,
 ) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -335,7 +337,7 @@
         let closed = Instant::now();
         let mut next = hand.greets().await;
         if matches!(closes, Closes::Answered) {
-            assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+            assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
             assert_eq!(controller.instance.counters().attempts, 1);
             return;
         }
@@ -343,7 +345,7 @@
         assert_eq!(next.hears("INVITE").await, name(1));
         assert!(closed.elapsed() >= REST - Duration::from_millis(20), "after {:?}", closed.elapsed());
         next.answers(&name(1), "z").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("z".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("z".into()));
         assert_eq!((controller.instance.counters().attempts, finals(&world, &name(1))), (2, 1));
     });
 }
@@ -353,7 +355,7 @@
 #[test]
 fn the_end_of_a_call_and_the_close_of_its_connection() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -362,7 +364,7 @@
         wire.hears("INVITE").await;
         wire.answers(&name(1), "y").await;
         wire.hears("ACK").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         caller.close(&name(1), 16).await;
         let mut come = [0; 4_096];
         in_time("it has come", async {
@@ -661,7 +663,7 @@
         let (board, resolver, any) = (Board::start().await, Resolver::start().await, any());
         let name_it = |n: &str| {
             let at = "127.0.0.1:9".parse().expect("an address");
-            resolver.name_server(n, at, 30, &["cell=0".into(), "zone=east".into()]);
+            resolver.add_server(n, at, 30, &["cell=0".into(), "zone=east".into()]);
         };
         name_it("i0");
         let with = |dns: bool| {
@@ -674,7 +676,7 @@
         let which = |i: &lockpoint::instance::Instance, state| i.servers().iter().any(|l| l.state == state);
         controller.turns("it is listed", |i| which(i, ServerState::Ready)).await;
         // Its records live for half a minute: this watch looks no sooner.
-        resolver.forget_server("i0");
+        resolver.remove_server("i0");
         let mut next = with(watches_on);
         next.bulletin = Some(Board::start().await.at());
         controller.instance.reload(next);
@@ -692,7 +694,7 @@
 #[test]
 fn a_drain_between_the_choice_and_the_send() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (chosen, fill) = Hand::full("s0").await;
         let other = Hand::start("s1").await;
         let long = |config: &mut lockpoint::config::InstanceConfig| {
@@ -703,10 +705,10 @@
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         controller.turns("it is sent", |i| i.counters().attempts == 1).await;
-        bulletin.tell(false, vec![chosen.host(0, "draining")]);
+        bulletin.publish(false, vec![chosen.host(0, "draining")]);
         assert_eq!(wire.hears("INVITE").await, name(1));
         wire.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         // Its connection comes up afterwards: no set-up is on it.
         let waiting = fill.len();
         drop(fill);
@@ -725,7 +727,7 @@
 #[rstest]
 fn a_late_answer_after_the_call_was_sent_elsewhere(#[values(true, false)] ahead: bool) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (silent, other) = (Hand::start("s0").await, Hand::start("s1").await);
         let (controller, _b) = Controller::with_hands(&world, &[&silent, &other], |_| {}).await;
         let (mut first, mut second) = (silent.greets().await, other.greets().await);
@@ -738,14 +740,14 @@
         assert!(given_up.elapsed() >= REST - Duration::from_millis(20), "after {:?}", given_up.elapsed());
         if !ahead {
             second.answers(&name(1), "y").await;
-            world.answer(&name(1)).await;
+            world.final_answer(&name(1)).await;
         }
         first.answers(&name(1), "late").await;
         assert_eq!(first.hears("BYE").await, name(1));
         if ahead {
             second.answers(&name(1), "y").await;
         }
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.instance.counters();
         assert_eq!((counters.late_answers, counters.standing, finals(&world, &name(1))), (1, 1, 1));
     });
@@ -756,7 +758,7 @@
 #[test]
 fn the_end_of_a_call_ahead_of_its_answer() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (held_up, other) = (Hand::start("s0").await, Hand::start("s1").await);
         let (controller, _b) = Controller::with_hands(&world, &[&held_up, &other], |_| {}).await;
         let (mut wire, _idle) = (held_up.greets().await, other.greets().await);
@@ -764,7 +766,7 @@
         caller.open(&name(1), 9_000, 0, "x").await;
         wire.hears("INVITE").await;
         wire.releases(&name(1), 16).await;
-        assert!(matches!(world.answer(&name(1)).await.what, What::Close(31, _)));
+        assert!(matches!(world.final_answer(&name(1)).await.kind, EventKind::Close(31, _)));
         wire.answers(&name(1), "late").await;
         assert_eq!(wire.hears("BYE").await, name(1));
         tokio::time::sleep(REST * 2).await;
@@ -778,7 +780,7 @@
 #[test]
 fn a_late_second_answer_and_one_after_a_time_out() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -786,11 +788,11 @@
         caller.open(&name(1), 9_000, 0, "x").await;
         wire.hears("INVITE").await;
         wire.answers(&name(1), "y").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         wire.answers(&name(1), "z").await;
         caller.open(&name(2), 300, 0, "x").await;
         wire.hears("INVITE").await;
-        assert!(matches!(world.answer(&name(2)).await.what, What::Close(31, _)));
+        assert!(matches!(world.final_answer(&name(2)).await.kind, EventKind::Close(31, _)));
         wire.hears("CANCEL").await;
         wire.answers(&name(2), "late").await;
         assert_eq!(wire.hears("BYE").await, name(2), "and none for the second copy before it");
@@ -808,7 +810,7 @@
 #[case::the_answer_first(false)]
 fn a_cancel_and_an_answer(#[case] cancel_first: bool) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -823,7 +825,7 @@
             wire.answers(&name(1), "y").await;
             controller.turns("it is answered", |i| i.counters().completed == 1).await;
             caller.close(&name(1), 16).await;
-            world.until("the end is heard", is(&name(1), What::Closed)).await;
+            world.wait_for("the end is heard", is(&name(1), EventKind::Closed)).await;
         }
         assert_eq!(wire.hears("BYE").await, name(1));
         let counters = controller.instance.counters();
@@ -836,7 +838,7 @@
 #[test]
 fn a_cancel_and_an_answer_at_once() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, _b) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -865,7 +867,7 @@
     #[case] goes_again: bool,
 ) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, bulletin) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -883,8 +885,8 @@
             assert!(reset.elapsed() >= REST, "after {:?}", reset.elapsed());
             wire.answers(&name(1), "y").await;
         }
-        let answer = world.answer(&name(1)).await.what;
-        assert_eq!(matches!(answer, What::Ready(_)), goes_again, "{answer:?}");
+        let answer = world.final_answer(&name(1)).await.kind;
+        assert_eq!(matches!(answer, EventKind::Ready(_)), goes_again, "{answer:?}");
         let counters = controller.instance.counters();
         assert_eq!((counters.open, counters.attempts), (0, 1 + u64::from(goes_again)));
     });
@@ -894,7 +896,7 @@
 #[test]
 fn a_reload_with_the_settings_of_another() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::start("s0").await;
         let (controller, bulletin) = Controller::with_hands(&world, &[&hand], |_| {}).await;
         let mut wire = hand.greets().await;
@@ -917,13 +919,13 @@
             Some(lockpoint::fleet::FleetConfig { me: 1, controllers: 2, ..Default::default() });
         assert_eq!(controller.instance.reload(other), ["fleet"]);
         // A line that names its zone comes after that: it is read by the zones that the settings in force name.
-        bulletin.tell(false, vec![hand.host(0, "ready")]);
+        bulletin.publish(false, vec![hand.host(0, "ready")]);
         let second = Hand::start("s1").await;
-        bulletin.tell(false, vec![second.host(1, "ready")]);
+        bulletin.publish(false, vec![second.host(1, "ready")]);
         listed(&controller, "s1", ServerState::Ready).await;
         assert!(controller.instance.servers().iter().all(|line| line.zone == 0), "east is the first zone");
         wire.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
     });
 }
 
@@ -931,7 +933,7 @@
 #[test]
 fn a_reload_changes_how_long_a_connection_may_take() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (first, (full, _fill)) = (Hand::start("s0").await, Hand::full("s1").await);
         let long = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = Span::from_millis(60_000);
@@ -940,7 +942,7 @@
         let mut next = config(bulletin.at);
         next.connect_timeout = Span::from_millis(50);
         assert!(controller.instance.reload(next).is_empty());
-        bulletin.tell(false, vec![full.host(1, "ready")]);
+        bulletin.publish(false, vec![full.host(1, "ready")]);
         controller.turns("it is not made in time", |i| i.counters().not_made > 0).await;
     });
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -14,7 +14,10 @@
 use platform::{free_address, Platform};
 use rstest::rstest;
 use serde_json::{json, Value};
-use support::{host, in_time, name, on_one_thread, settings, Bulletin, Caller, Does, SipServer, What, World};
+use support::{
+    in_time, list_entry, name, on_one_thread, settings, Bulletin, Caller, EventKind, EventLog,
+    ServerBehaviour, SipServer,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
@@ -98,7 +101,7 @@
     #[case] limits: Value,
 ) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = free_address();
         let config = json!({"bulletin": bulletin.to_string(), "limits": limits, "settings": settings(1)});
         let label = format!("descriptors-{}", limits.as_object().map_or(0, serde_json::Map::len));
@@ -114,13 +117,13 @@
         assert!(console(&platform, "PING").await.starts_with("FAILURE no list"), "the console answers");
 
         let connected = Rc::new(Cell::new(0));
-        let server = SipServer::start(&world, "s0", Does::Answer("a".to_owned())).await;
-        let mut hosts = vec![host("s0", server.at, 0, "ready")];
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".to_owned())).await;
+        let mut hosts = vec![list_entry("s0", server.at, 0, "ready")];
         for n in 1..=OTHERS {
-            hosts.push(host(&format!("s{n}"), silent_server(connected.clone()).await, 10 + n, "ready"));
+            hosts.push(list_entry(&format!("s{n}"), silent_server(connected.clone()).await, 10 + n, "ready"));
         }
         let returned = Bulletin::start_at(&world, bulletin).await.expect("discovery returns");
-        returned.tell(true, hosts);
+        returned.publish(true, hosts);
         let listed = until("the test passes", LIST_WITHIN, async || test_passes(platform.at).await).await;
         let all = usize::from(OTHERS);
         let reached =
@@ -133,12 +136,12 @@
 
         let caller = Caller::connect(&world, "real", platform.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
         // Whoever is of use stays, however many come that are not.
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert!(!caller.ended(), "the least used goes first");
+        assert!(!caller.is_disconnected(), "the least used goes first");
         server.release(&name(1), 16);
-        in_time("the release", world.until("it", |s| s.what == What::Close(16, None))).await;
+        in_time("the release", world.wait_for("it", |s| s.kind == EventKind::Close(16, None))).await;
         // Signals are heard.
         platform.signal("-HUP");
         platform.signal("-TERM");
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -7,13 +7,13 @@
 
 use lockpoint::core::Sid;
 use lockpoint::interface::Span;
-use lockpoint_lab::bulletin::{born_host, host, Bulletin};
+use lockpoint_lab::bulletin::{list_entry, list_entry_started_at, Bulletin};
 use lockpoint_lab::callers::Caller;
 use lockpoint_lab::fleet::processes::{settings, Processes, ReportedObservation};
-use lockpoint_lab::machine::Machine;
 use lockpoint_lab::processor::ProcessorConfig;
-use lockpoint_lab::sip::{Does, SipServer};
-use lockpoint_lab::world::{on_one_thread, What, World};
+use lockpoint_lab::server_model::ServerModel;
+use lockpoint_lab::sip::{ServerBehaviour, SipServer};
+use lockpoint_lab::world::{on_one_thread, EventKind, EventLog};
 use serde_json::{json, Value};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lockpoint");
@@ -22,7 +22,7 @@
 
 /// Two call servers, s0 and s1, and the controllers that share them.
 struct Setup {
-    world: World,
+    world: EventLog,
     servers: Vec<Rc<SipServer>>,
     fleet: Processes,
     calls: u64,
@@ -35,14 +35,15 @@
 
     async fn start_with(controllers: u16, shares: Option<Value>, seed: u64) -> Setup {
         println!("seed {seed}");
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         let mut servers = Vec::new();
         for name in ["s0", "s1"] {
-            servers.push(SipServer::start(&world, name, Does::Answer("v=0\r\n".into())).await);
+            servers.push(SipServer::start(&world, name, ServerBehaviour::Answer("v=0\r\n".into())).await);
         }
-        let entries = servers.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
-        bulletin.tell(true, entries.collect());
+        let entries =
+            servers.iter().zip(0..).map(|(server, n)| list_entry(&server.name, server.at, n, "ready"));
+        bulletin.publish(true, entries.collect());
         let fleet =
             Processes::start(Path::new(PROGRAM), controllers, bulletin.at, &settings(), shares, seed).await;
         Setup { world, servers, fleet: fleet.expect("a fleet"), calls: 0 }
@@ -56,9 +57,9 @@
         let caller =
             Caller::connect(&self.world, "caller", self.fleet.at(me).expect("the controller runs")).await;
         caller.open(&sid, 5_000, 1, "v=0\r\n").await;
-        self.world.answer(&sid).await;
-        let all = self.world.all().into_iter();
-        all.filter(|s| s.sid == sid && matches!(s.what, What::SetUp(..))).map(|s| s.who).collect()
+        self.world.final_answer(&sid).await;
+        let all = self.world.events().into_iter();
+        all.filter(|s| s.sid == sid && matches!(s.kind, EventKind::SetUp(..))).map(|s| s.source).collect()
     }
 
     /// Makes a controller observe that s1 is full. Afterwards s1 accepts calls again, unknown to the controllers.
@@ -68,10 +69,10 @@
 
     async fn observe_full_for(&mut self, me: u16, ms: u64) {
         let headers = format!("P-Reason: queue_long\r\nP-Line-Ms: {ms}\r\n");
-        *self.servers[1].does.borrow_mut() = Does::Refuse(503, headers);
+        *self.servers[1].behaviour.borrow_mut() = ServerBehaviour::Refuse(503, headers);
         let tried = self.call(me).await;
         assert_eq!(tried.first().map(String::as_str), Some("s1"), "the first attempt did not go to s1");
-        *self.servers[1].does.borrow_mut() = Does::Answer("v=0\r\n".into());
+        *self.servers[1].behaviour.borrow_mut() = ServerBehaviour::Answer("v=0\r\n".into());
     }
 }
 
@@ -253,16 +254,16 @@
 fn a_controller_without_its_directory_is_warned_by_peers_until_the_directory_answers() {
     on_one_thread(async {
         println!("seed 8");
-        let world = World::default();
+        let world = EventLog::default();
         let (bulletin, late) = (Bulletin::start(&world).await, Bulletin::start(&world).await);
         let mut servers = Vec::new();
         for name in ["s0", "s1"] {
-            servers.push(SipServer::start(&world, name, Does::Answer("v=0\r\n".into())).await);
+            servers.push(SipServer::start(&world, name, ServerBehaviour::Answer("v=0\r\n".into())).await);
         }
-        let line = |n: usize, state| host(&servers[n].name, servers[n].at, n as u16, state);
+        let line = |n: usize, state| list_entry(&servers[n].name, servers[n].at, n as u16, state);
         let all = || vec![line(0, "ready"), line(1, "ready")];
-        bulletin.tell(true, all());
-        late.tell(true, all());
+        bulletin.publish(true, all());
+        late.publish(true, all());
         let fleet = Processes::prepare(Path::new(PROGRAM), 3, bulletin.at, &settings(), 8).await;
         let (mut fleet, calls) = (fleet.expect("a fleet"), 0);
         fleet.bulletins.insert(2, late.at);
@@ -270,13 +271,13 @@
         fleet.begin_all().await.expect("they serve");
         let mut setup = Setup { world, servers, fleet, calls };
         let line = |setup: &Setup, n: usize, state| {
-            host(&setup.servers[n].name, setup.servers[n].at, n as u16, state)
+            list_entry(&setup.servers[n].name, setup.servers[n].at, n as u16, state)
         };
         let warned =
             |figures: &BTreeMap<String, u64>| figures.get("fleet.server.s1.warned").copied() == Some(1);
         // Cut off from both peers, controller 2 does not know about the drain and continues to use s1.
         setup.fleet.mesh.links.borrow_mut().split(2, 3);
-        bulletin.tell(false, vec![line(&setup, 1, "draining")]);
+        bulletin.publish(false, vec![line(&setup, 1, "draining")]);
         for other in [0, 1] {
             let avoided = |f: &BTreeMap<String, u64>| f.get("members_unavailable") == Some(&1);
             setup
@@ -289,7 +290,7 @@
         setup.fleet.until_figures("controller 2 is warned", 2, warned).await;
         assert_eq!(setup.call(2).await, ["s0"]);
         // Its own directory answers late and with another entry, which takes precedence.
-        late.tell(false, vec![line(&setup, 1, "ready")]);
+        late.publish(false, vec![line(&setup, 1, "ready")]);
         setup.fleet.until_figures("its own directory has ended the warning", 2, |f| !warned(f)).await;
         assert_eq!(setup.call(2).await, ["s1"]);
         assert!(setup.fleet.stop().await);
@@ -302,21 +303,24 @@
 fn a_cold_call_server_is_not_overloaded_and_permits_are_lent_to_the_busiest_controller() {
     on_one_thread(async {
         println!("seed 9");
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         // The call server handles 40 calls per second when warm, and records an overload itself.
         let config = ProcessorConfig { capacity: 40.0, ..ProcessorConfig::default() };
-        let cold = Machine::new(config, 500, 9);
-        cold.starts();
+        let cold = ServerModel::new(config, 500, 9);
+        cold.restart();
         let servers = vec![
-            SipServer::start(&world, "s0", Does::Answer("v=0\r\n".into())).await,
-            SipServer::start(&world, "s1", Does::Model(cold)).await,
+            SipServer::start(&world, "s0", ServerBehaviour::Answer("v=0\r\n".into())).await,
+            SipServer::start(&world, "s1", ServerBehaviour::Model(cold)).await,
         ];
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
         let started_ms = u64::try_from(now.as_millis()).expect("in range");
-        bulletin.tell(
+        bulletin.publish(
             true,
-            vec![host("s0", servers[0].at, 0, "ready"), born_host("s1", servers[1].at, 1, started_ms)],
+            vec![
+                list_entry("s0", servers[0].at, 0, "ready"),
+                list_entry_started_at("s1", servers[1].at, 1, started_ms),
+            ],
         );
         let fleet =
             Processes::start(Path::new(PROGRAM), 4, bulletin.at, &settings(), Some(json!({})), 9).await;
@@ -344,14 +348,18 @@
             }
             assert!(calls < 1_300, "no permits were borrowed before the call server was warm");
         }
-        let answers = setup.world.until_all("a final answer to each call", calls as usize, |s| {
-            s.who == "caller" && matches!(s.what, What::Ready(_) | What::Close(34 | 42 | 102, _))
+        let answers = setup.world.wait_for_count("a final answer to each call", calls as usize, |s| {
+            s.source == "caller" && matches!(s.kind, EventKind::Ready(_) | EventKind::Close(34 | 42 | 102, _))
         });
         answers.await;
-        let to_cold = setup.world.count(|s| s.who == "s1" && matches!(s.what, What::SetUp(..)));
+        let to_cold = setup.world.count(|s| s.source == "s1" && matches!(s.kind, EventKind::SetUp(..)));
         println!("{to_cold} of {calls} calls reached the cold call server");
         assert!(to_cold >= 10, "too few calls to the cold call server: {to_cold}");
-        assert_eq!(setup.world.count(|s| s.what == What::Tipped), 0, "the cold call server was overloaded");
+        assert_eq!(
+            setup.world.count(|s| s.kind == EventKind::Tipped),
+            0,
+            "the cold call server was overloaded"
+        );
         assert!(setup.fleet.stop().await);
     });
 }
