--- a/tests/iax2.rs
+++ b/tests/iax2.rs
@@ -12,15 +12,18 @@
 use lockpoint::iax2::legs::{LegEvent, Legs};
 use lockpoint::interface::Time;
 use support::iax2::{IaxCaller, IaxServer, Resolver, SERVICE};
-use support::{host, name, on_one_thread, Bulletin, Caller, Controller, Does, Seen, SipServer, What, World};
+use support::{
+    list_entry, name, on_one_thread, Bulletin, Caller, Controller, EventKind, EventLog, RecordedEvent,
+    ServerBehaviour, SipServer,
+};
 use tokio::net::UdpSocket;
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && seen.what == what
+fn is(sid: &str, what: EventKind) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && seen.kind == what
 }
 
 /// A controller with both fronts, which gets SIP call servers from the bulletin and IAX2 call servers from DNS-SD.
@@ -33,10 +36,10 @@
 }
 
 /// A controller with a single IAX2 call server, of cell 0.
-async fn with_server(world: &World, does: Does) -> (Controller, Rc<IaxServer>, Rc<Resolver>) {
+async fn with_server(world: &EventLog, does: ServerBehaviour) -> (Controller, Rc<IaxServer>, Rc<Resolver>) {
     let (bulletin, resolver) = (Bulletin::start(world).await, Resolver::start().await);
     let server = IaxServer::start(world, "i0", does).await;
-    resolver.name_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
+    resolver.add_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
     let controller = controller(&bulletin, &resolver).await;
     controller.holds_list().await;
     (controller, server, resolver)
@@ -45,20 +48,21 @@
 #[test]
 fn an_iax2_call_is_set_up_unchanged_and_either_side_can_end_it() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, server, _) = with_server(&world, answers(&"answer \u{e9}".repeat(60))).await;
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         let description = "offer ".repeat(100);
         for n in 1..=2 {
             caller.open(&name(n), 2_000, 0, &description);
-            assert_eq!(world.answer(&name(n)).await.what, What::Ready("answer \u{e9}".repeat(60)));
-            let set_up = What::SetUp("judge-call".into(), "7f3a9c21e0b4d655".into(), description.clone());
-            world.until("the set-up arrives unchanged", is(&name(n), set_up)).await;
+            assert_eq!(world.final_answer(&name(n)).await.kind, EventKind::Ready("answer \u{e9}".repeat(60)));
+            let set_up =
+                EventKind::SetUp("judge-call".into(), "7f3a9c21e0b4d655".into(), description.clone());
+            world.wait_for("the set-up arrives unchanged", is(&name(n), set_up)).await;
         }
         server.release(&name(1), 41);
-        world.until("the release", is(&name(1), What::Close(41, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(41, None))).await;
         caller.hang_up(&name(2));
-        world.until("the call server gets the end", is(&name(2), What::Bye(16))).await;
+        world.wait_for("the call server gets the end", is(&name(2), EventKind::Bye(16))).await;
         let counters = controller.stop().await;
         assert_eq!((counters.iax2_calls_in, counters.iax2_calls_out, counters.standing), (2, 2, 0));
     });
@@ -68,11 +72,11 @@
 #[test]
 fn metrics_and_drain_cover_the_iax2_front() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, server, _) = with_server(&world, answers("y")).await;
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 2_000, 0, "x");
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let figures = controller.instance.figures();
         for line in ["judge-call.completed:1|c", "upstream_requests:1|c", "pending:1|g", "members:1|g"] {
             assert!(figures.contains(line), "{line} in {figures}");
@@ -83,40 +87,42 @@
         let refused = loop {
             n += 1;
             caller.open(&name(n), 2_000, 0, "x");
-            match world.answer(&name(n)).await.what {
-                What::Ready(_) => tokio::time::sleep(Duration::from_millis(20)).await,
+            match world.final_answer(&name(n)).await.kind {
+                EventKind::Ready(_) => tokio::time::sleep(Duration::from_millis(20)).await,
                 other => break other,
             }
         };
-        assert!(matches!(refused, What::Close(42, Some(_))) && n > 2, "{refused:?} for call {n}");
+        assert!(matches!(refused, EventKind::Close(42, Some(_))) && n > 2, "{refused:?} for call {n}");
         server.release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
         assert_eq!(controller.instance.rejoin(), Ok(()));
         caller.open(&name(999), 2_000, 0, "x");
-        assert_eq!(world.answer(&name(999)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(999)).await.kind, EventKind::Ready("y".into()));
     });
 }
 
 #[test]
 fn a_refused_iax2_call_gets_one_reject_and_a_call_given_up_is_cancelled() {
     on_one_thread(async {
-        let world = World::default();
-        let (controller, server, _) = with_server(&world, Does::Refuse(42, String::new())).await;
+        let world = EventLog::default();
+        let (controller, server, _) = with_server(&world, ServerBehaviour::Refuse(42, String::new())).await;
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 9_000, 0, "x");
-        assert!(matches!(world.answer(&name(1)).await.what, What::Close(42, Some(wait)) if wait > 0));
+        assert!(
+            matches!(world.final_answer(&name(1)).await.kind, EventKind::Close(42, Some(wait)) if wait > 0)
+        );
         // A caller that gives up while the call server does not answer.
-        *server.does.borrow_mut() = Does::Silent;
+        *server.behaviour.borrow_mut() = ServerBehaviour::Silent;
         caller.open(&name(2), 9_000, 0, "x");
-        let other = world.until("a set-up or a refusal", |s| {
-            s.sid == name(2) && matches!(s.what, What::SetUp(..) | What::Close(..))
+        let other = world.wait_for("a set-up or a refusal", |s| {
+            s.sid == name(2) && matches!(s.kind, EventKind::SetUp(..) | EventKind::Close(..))
         });
-        if matches!(other.await.what, What::SetUp(..)) {
+        if matches!(other.await.kind, EventKind::SetUp(..)) {
             caller.hang_up(&name(2));
-            world.until("the call server gets the cancel", is(&name(2), What::Cancel)).await;
+            world.wait_for("the call server gets the cancel", is(&name(2), EventKind::Cancel)).await;
         }
         assert_eq!(controller.stop().await.open, 0);
-        assert!(world.count(|s| s.sid == name(1) && matches!(s.what, What::Close(..))) == 1);
+        assert!(world.count(|s| s.sid == name(1) && matches!(s.kind, EventKind::Close(..))) == 1);
     });
 }
 
@@ -124,19 +130,20 @@
 #[test]
 fn a_second_leg_with_the_name_of_a_known_call_is_rejected_and_the_first_keeps_its_call() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, _server, _) = with_server(&world, answers("y")).await;
         let at = controller.iax2_at.expect("a port");
         let (first, second) =
             (IaxCaller::start(&world, "c", at).await, IaxCaller::start(&world, "d", at).await);
         first.open(&name(1), 2_000, 0, "x");
-        world.until("the answer", is(&name(1), What::Ready("y".into()))).await;
+        world.wait_for("the answer", is(&name(1), EventKind::Ready("y".into()))).await;
         second.open(&name(1), 2_000, 0, "x");
-        let rejected =
-            world.until("the reject of the second leg", |s| s.who == "d" && s.what == What::Close(31, None));
+        let rejected = world.wait_for("the reject of the second leg", |s| {
+            s.source == "d" && s.kind == EventKind::Close(31, None)
+        });
         rejected.await;
         first.hang_up(&name(1));
-        world.until("the call server gets the end", is(&name(1), What::Bye(16))).await;
+        world.wait_for("the call server gets the end", is(&name(1), EventKind::Bye(16))).await;
         assert_eq!(controller.instance.counters().iax2_calls_out, 1);
     });
 }
@@ -144,23 +151,27 @@
 #[test]
 fn a_call_server_silent_during_set_up_costs_one_attempt_and_the_next_waits_for_its_cancel() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
         let (sip, iax) = (
             SipServer::start(&world, "s1", answers("y")).await,
-            IaxServer::start(&world, "i0", Does::Silent).await,
+            IaxServer::start(&world, "i0", ServerBehaviour::Silent).await,
         );
         iax.silent.set(true);
-        bulletin.tell(true, vec![host("s1", sip.at, 1, "ready")]);
-        resolver.name_server("i0", iax.at, 1, &["cell=0".into()]);
+        bulletin.publish(true, vec![list_entry("s1", sip.at, 1, "ready")]);
+        resolver.add_server("i0", iax.at, 1, &["cell=0".into()]);
         let controller = controller(&bulletin, &resolver).await;
         controller.turns("both lists have arrived", |i| i.servers().len() == 2).await;
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 9_000, 0, "x");
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
-        let gave_up = world.until("the cancel", is(&name(1), What::Cancel)).await.at;
-        let at = |who: &'static str| move |s: &Seen| s.who == who && matches!(s.what, What::SetUp(..));
-        assert!(world.until("the second attempt", at("s1")).await.at >= gave_up + Duration::from_millis(500));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
+        let gave_up = world.wait_for("the cancel", is(&name(1), EventKind::Cancel)).await.at;
+        let at = |who: &'static str| {
+            move |s: &RecordedEvent| s.source == who && matches!(s.kind, EventKind::SetUp(..))
+        };
+        assert!(
+            world.wait_for("the second attempt", at("s1")).await.at >= gave_up + Duration::from_millis(500)
+        );
         // The retransmissions of its NEW do not count as attempts.
         assert_eq!((world.count(at("i0")), controller.instance.counters().iax2_calls_out), (1, 1));
     });
@@ -169,7 +180,7 @@
 #[test]
 fn calls_of_a_silent_iax2_call_server_are_released_and_the_call_of_a_dead_caller_is_ended() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, server, _) = with_server(&world, answers("y")).await;
         let at = controller.iax2_at.expect("a port");
         let caller = IaxCaller::start(&world, "c", at).await;
@@ -177,11 +188,11 @@
         // A caller that sends one NEW and nothing more.
         let dead = Raw::start(at).await;
         dead.send(0, 0, 0, Kind::Iax(Iax::New), new_elements(&name(2))).await;
-        world.until("the call is established", is(&name(2), What::Answered("y".into()))).await;
-        world.until("the call of the dead caller is ended", is(&name(2), What::Bye(16))).await;
+        world.wait_for("the call is established", is(&name(2), EventKind::Answered("y".into()))).await;
+        world.wait_for("the call of the dead caller is ended", is(&name(2), EventKind::Bye(16))).await;
         server.silent.set(true);
         let silent = Instant::now();
-        let release = world.until("the release", is(&name(1), What::Close(41, None))).await;
+        let release = world.wait_for("the release", is(&name(1), EventKind::Close(41, None))).await;
         assert!(release.at - silent < Duration::from_secs(8), "{:?}", release.at - silent);
     });
 }
@@ -230,7 +241,7 @@
 #[test]
 fn duplicate_out_of_sequence_and_unknown_frames_are_answered_as_the_rfc_requires() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, _server, _) = with_server(&world, answers("y")).await;
         let raw = Raw::start(controller.iax2_at.expect("a port")).await;
         let none = Elements::default;
@@ -268,7 +279,7 @@
         raw.receive(Kind::Iax(Iax::Pong)).await;
         raw.0.send(&[0x80, 1, 0]).await.expect("sent");
         raw.send(no, 4, 5, Kind::Iax(Iax::Hangup), none()).await;
-        world.until("the call server gets the end", is(&name(1), What::Bye(16))).await;
+        world.wait_for("the call server gets the end", is(&name(1), EventKind::Bye(16))).await;
         let counters = controller.instance.counters();
         assert_eq!((counters.iax2_calls_in, counters.taken, counters.iax2_malformed), (1, 1, 1));
         // A NEW without a called number is rejected.
@@ -314,35 +325,35 @@
 #[test]
 fn dns_records_make_the_list_their_ttl_is_kept_and_a_server_without_records_is_gone() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, server, resolver) = with_server(&world, answers("y")).await;
         let state = |i: &lockpoint::instance::Instance| {
             i.servers().iter().map(|line| format!("{:?}", line.state)).collect::<Vec<_>>().join(" ")
         };
-        let asked = resolver.asked.get();
-        resolver.forget_server("i0");
-        resolver.name_server("i0", server.at, 30, &["cell=0".into(), "state=draining".into()]);
+        let asked = resolver.queries.get();
+        resolver.remove_server("i0");
+        resolver.add_server("i0", server.at, 30, &["cell=0".into(), "state=draining".into()]);
         controller.turns("the call server drains", |i| state(i) == "Draining").await;
-        assert!(resolver.asked.get() > asked);
+        assert!(resolver.queries.get() > asked);
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 2_000, 0, "x");
-        assert!(matches!(world.answer(&name(1)).await.what, What::Close(42, _)));
+        assert!(matches!(world.final_answer(&name(1)).await.kind, EventKind::Close(42, _)));
         // Records with a TTL of 30 s are not queried again within most of it.
-        let asked = resolver.asked.get();
+        let asked = resolver.queries.get();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        assert_eq!(resolver.asked.get(), asked);
+        assert_eq!(resolver.queries.get(), asked);
     });
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, _server, resolver) = with_server(&world, answers("y")).await;
-        resolver.forget_server("i0");
+        resolver.remove_server("i0");
         controller
             .turns("the call server is gone", |i| format!("{:?}", i.servers()[0].state) == "Gone")
             .await;
         let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
         caller.open(&name(1), 2_000, 0, "x");
-        assert!(matches!(world.answer(&name(1)).await.what, What::Close(42, _)));
-        assert_eq!(world.count(|s| s.who == "i0"), 0);
+        assert!(matches!(world.final_answer(&name(1)).await.kind, EventKind::Close(42, _)));
+        assert_eq!(world.count(|s| s.source == "i0"), 0);
     });
 }
 
@@ -364,7 +375,7 @@
 #[test]
 fn both_protocols_keep_every_rule_at_120_percent_while_one_server_falls_silent_and_one_drains() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
         let s0 = SipServer::start(&world, "s0", answers("from s0")).await;
         let s1 = SipServer::start(&world, "s1", answers("from s1")).await;
@@ -372,9 +383,10 @@
         let i1 = IaxServer::start(&world, "i1", answers("from i1")).await;
         let born = Instant::now();
         let born_ms = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_millis();
-        bulletin.tell(true, vec![host("s0", s0.at, 0, "ready"), host("s1", s1.at, 1, "ready")]);
-        resolver.name_server("i0", i0.at, 1, &["cell=2".into()]);
-        resolver.name_server("i1", i1.at, 1, &["cell=3".into(), format!("born_ms={born_ms}")]);
+        bulletin
+            .publish(true, vec![list_entry("s0", s0.at, 0, "ready"), list_entry("s1", s1.at, 1, "ready")]);
+        resolver.add_server("i0", i0.at, 1, &["cell=2".into()]);
+        resolver.add_server("i1", i1.at, 1, &["cell=3".into(), format!("born_ms={born_ms}")]);
         let controller = controller(&bulletin, &resolver).await;
         controller.turns("all four are known", |i| i.servers().len() == 4).await;
         let json_callers = [
@@ -403,90 +415,92 @@
             if n == calls / 8 {
                 // From now on i0 sends nothing, although it has acknowledged calls that it has not answered.
                 i0.silent.set(true);
-                bulletin.tell(false, vec![host("s0", s0.at, 0, "draining")]);
+                bulletin.publish(false, vec![list_entry("s0", s0.at, 0, "draining")]);
             }
             // Each server refuses set-ups beyond its planned rate over the last second.
             let busy = |who: &str| {
                 let lately = Instant::now() - Duration::from_secs(1);
-                world.count(|s| s.who == who && s.at > lately && matches!(s.what, What::SetUp(..))) >= PLANNED
+                world.count(|s| s.source == who && s.at > lately && matches!(s.kind, EventKind::SetUp(..)))
+                    >= PLANNED
             };
             for s in [&s0, &s1] {
                 let text = "P-Reason: queue_long\r\nP-Line-Ms: 900\r\n".to_owned();
-                *s.does.borrow_mut() = if busy(&s.name) {
-                    Does::Refuse(503, text)
+                *s.behaviour.borrow_mut() = if busy(&s.name) {
+                    ServerBehaviour::Refuse(503, text)
                 } else {
                     answers(&format!("from {}", s.name))
                 };
             }
             for i in [&i0, &i1] {
                 let stalls = i.name == "i0" && n + 8 >= calls / 8;
-                *i.does.borrow_mut() = if stalls {
-                    Does::Silent
+                *i.behaviour.borrow_mut() = if stalls {
+                    ServerBehaviour::Silent
                 } else if busy(&i.name) {
-                    Does::Refuse(42, String::new())
+                    ServerBehaviour::Refuse(42, String::new())
                 } else {
                     answers(&format!("from {}", i.name))
                 };
             }
             if n % 8 == 7 {
-                let standing = world.all().into_iter().rev().find(|s| matches!(s.what, What::Answered(_)));
+                let standing =
+                    world.events().into_iter().rev().find(|s| matches!(s.kind, EventKind::Answered(_)));
                 match standing {
-                    Some(s) if s.who == "s1" => s1.release(&s.sid, 16),
-                    Some(s) if s.who == "i1" => i1.release(&s.sid, 16),
+                    Some(s) if s.source == "s1" => s1.release(&s.sid, 16),
+                    Some(s) if s.source == "i1" => i1.release(&s.sid, 16),
                     _ => {}
                 }
             }
             tokio::time::sleep_until(start + gap * (n as u32 + 1)).await;
         }
         for n in 0..calls {
-            world.answer(&name(n as u64)).await;
+            world.final_answer(&name(n as u64)).await;
         }
-        let released = world.count(|s| s.what == What::Released);
+        let released = world.count(|s| s.kind == EventKind::Released);
         let ended: Vec<String> =
-            world.all().iter().filter(|s| s.what == What::Released).map(|s| s.sid.clone()).collect();
+            world.events().iter().filter(|s| s.kind == EventKind::Released).map(|s| s.sid.clone()).collect();
         for sid in &ended {
-            world.until("the release", is(sid, What::Close(16, None))).await;
+            world.wait_for("the release", is(sid, EventKind::Close(16, None))).await;
         }
         assert!(released > 5, "only {released} releases");
-        check(&world.all(), calls, born);
+        check(&world.events(), calls, born);
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.held_back), (0, 0));
     });
 }
 
 /// Checks every rule against the events that the simulated callers and servers recorded.
-fn check(seen: &[Seen], calls: usize, born: Instant) {
-    let drained = seen.iter().filter(|s| matches!(s.what, What::Told(_))).nth(1).expect("the drain").at;
-    let mut by_sid: BTreeMap<&str, Vec<&Seen>> = BTreeMap::new();
+fn check(seen: &[RecordedEvent], calls: usize, born: Instant) {
+    let drained = seen.iter().filter(|s| matches!(s.kind, EventKind::Told(_))).nth(1).expect("the drain").at;
+    let mut by_sid: BTreeMap<&str, Vec<&RecordedEvent>> = BTreeMap::new();
     seen.iter().filter(|s| !s.sid.is_empty()).for_each(|s| by_sid.entry(&s.sid).or_default().push(s));
     assert_eq!(by_sid.len(), calls);
     let (mut established, mut lost_to_silence) = (BTreeMap::<String, usize>::new(), 0);
     for (sid, seen) in &by_sid {
-        let asked = seen.iter().find(|s| matches!(s.what, What::Asked(_))).expect("asked").at;
+        let asked = seen.iter().find(|s| matches!(s.kind, EventKind::Asked(_))).expect("asked").at;
         // One final answer, in time. A release may follow an answer that establishes the call; nothing follows a
         // refusal.
         let answers: Vec<_> =
-            seen.iter().filter(|s| matches!(s.what, What::Ready(_) | What::Close(..))).collect();
+            seen.iter().filter(|s| matches!(s.kind, EventKind::Ready(_) | EventKind::Close(..))).collect();
         assert!(answers[0].at <= asked + LEFT, "{sid} answered after {:?}", answers[0].at - asked);
-        match &answers[0].what {
-            What::Ready(text) => {
+        match &answers[0].kind {
+            EventKind::Ready(text) => {
                 let by = seen
                     .iter()
-                    .find(|s| s.what == What::Answered(text.clone()))
+                    .find(|s| s.kind == EventKind::Answered(text.clone()))
                     .expect("the answer of a call server");
-                *established.entry(by.who.clone()).or_default() += 1;
+                *established.entry(by.source.clone()).or_default() += 1;
                 assert!(
-                    answers.len() <= 2 && answers[1..].iter().all(|s| matches!(s.what, What::Close(..))),
+                    answers.len() <= 2 && answers[1..].iter().all(|s| matches!(s.kind, EventKind::Close(..))),
                     "{answers:?}"
                 );
             }
-            What::Close(cause, wait) => {
+            EventKind::Close(cause, wait) => {
                 assert!(answers.len() == 1 && (*cause != 42 || wait.is_some()), "{answers:?}");
             }
             _ => unreachable!("filtered"),
         }
         // A release is forwarded within 1 s.
-        if let Some(released) = seen.iter().find(|s| s.what == What::Released) {
+        if let Some(released) = seen.iter().find(|s| s.kind == EventKind::Released) {
             let forwarded = answers.get(1).expect("forwarded").at;
             assert!(forwarded < released.at + Duration::from_secs(1));
         }
@@ -494,34 +508,37 @@
         let mut outstanding: Option<&str> = None;
         let (mut attempts, mut cancelled) = (0, None::<Instant>);
         for s in seen {
-            match &s.what {
-                What::SetUp(class, number, text) => {
+            match &s.kind {
+                EventKind::SetUp(class, number, text) => {
                     assert_eq!(outstanding, None, "{sid} has two outstanding attempts");
                     assert!(
                         cancelled.is_none_or(|at| s.at >= at + RELEASE),
                         "{sid} was attempted too soon after a cancel"
                     );
-                    assert!(s.who != "s0" || s.at <= drained + GRACE, "{sid} to a draining server");
+                    assert!(s.source != "s0" || s.at <= drained + GRACE, "{sid} to a draining server");
                     let set_up = (class.as_str(), number.as_str(), text.as_str());
                     assert_eq!(
                         set_up,
                         ("judge-call", "7f3a9c21e0b4d655", format!("offer of {sid}").as_str())
                     );
-                    (attempts, outstanding) = (attempts + 1, Some(s.who.as_str()));
+                    (attempts, outstanding) = (attempts + 1, Some(s.source.as_str()));
                 }
-                What::Cancel => {
+                EventKind::Cancel => {
                     (outstanding, cancelled) = (None, Some(s.at));
-                    lost_to_silence += usize::from(s.who == "i0");
+                    lost_to_silence += usize::from(s.source == "i0");
                 }
-                What::Refused | What::Answered(_) => outstanding = None,
+                EventKind::Refused | EventKind::Answered(_) => outstanding = None,
                 _ => {}
             }
         }
         assert!(attempts <= 5, "{sid} had {attempts} attempts");
     }
     // In no second does the cold server get more than 2.5 times its capacity.
-    let cold: Vec<Instant> =
-        seen.iter().filter(|s| s.who == "i1" && matches!(s.what, What::SetUp(..))).map(|s| s.at).collect();
+    let cold: Vec<Instant> = seen
+        .iter()
+        .filter(|s| s.source == "i1" && matches!(s.kind, EventKind::SetUp(..)))
+        .map(|s| s.at)
+        .collect();
     for (n, from) in cold.iter().enumerate() {
         let sent = cold[n..].iter().take_while(|at| **at < *from + Duration::from_secs(1)).count();
         assert!(
--- a/tests/iax2_auth.rs
+++ b/tests/iax2_auth.rs
@@ -11,7 +11,7 @@
 use lockpoint::config::{parse_operator, DnsSdConfig, Iax2Config, Iax2Secrets};
 use lockpoint::iax2::auth::{Account, Authenticator, Users};
 use support::iax2::{IaxCaller, IaxServer, Resolver, SERVICE};
-use support::{name, on_one_thread, Bulletin, Controller, Does, What, World};
+use support::{name, on_one_thread, Bulletin, Controller, EventKind, EventLog, ServerBehaviour};
 
 const USERS: &str = "[user.desk]\nsecret = 'wort'\n";
 
@@ -19,10 +19,10 @@
     Account::parse(&format!("username = '{name}'\nsecret = '{secret}'")).expect("valid TOML")
 }
 
-async fn start_controller(world: &World, secrets: Iax2Secrets) -> (Controller, Rc<IaxServer>) {
+async fn start_controller(world: &EventLog, secrets: Iax2Secrets) -> (Controller, Rc<IaxServer>) {
     let (bulletin, resolver) = (Bulletin::start(world).await, Resolver::start().await);
-    let server = IaxServer::start(world, "i0", Does::Answer("a".into())).await;
-    resolver.name_server("i0", server.at, 60, &["cell=0".into(), "zone=east".into()]);
+    let server = IaxServer::start(world, "i0", ServerBehaviour::Answer("a".into())).await;
+    resolver.add_server("i0", server.at, 60, &["cell=0".into(), "zone=east".into()]);
     let mut config = support::config(bulletin.at);
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     config.iax2 = Some(Iax2Config::at(any, any));
@@ -36,7 +36,7 @@
 #[test]
 fn a_caller_with_the_right_secret_is_served_and_all_others_get_the_same_refusal() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let users = Users::parse(USERS).ok();
         let (controller, _server) = start_controller(&world, Iax2Secrets { users, account: None }).await;
         let mut refusals = Vec::new();
@@ -55,16 +55,16 @@
             *caller.account.borrow_mut() = account_used;
             let sid = name(n as u64);
             caller.open(&sid, 5_000, 0, "x");
-            let answer = world.answer(&sid).await.what;
+            let answer = world.final_answer(&sid).await.kind;
             if right {
-                assert_eq!(answer, What::Ready("a".into()), "{n}");
+                assert_eq!(answer, EventKind::Ready("a".into()), "{n}");
             } else {
                 refusals.push(answer);
             }
         }
-        assert_eq!(refusals, vec![What::Close(21, None); 3]);
+        assert_eq!(refusals, vec![EventKind::Close(21, None); 3]);
         // Neither the core nor a call server has seen the calls that failed authentication.
-        assert_eq!(world.count(|s| matches!(s.what, What::SetUp(..))), 2);
+        assert_eq!(world.count(|s| matches!(s.kind, EventKind::SetUp(..))), 2);
         let counters = controller.instance.counters();
         assert_eq!((counters.iax2_not_let_in, counters.taken), (3, 2));
         controller.stop().await;
@@ -75,15 +75,15 @@
 fn the_controller_authenticates_to_a_call_server_that_asks() {
     on_one_thread(async {
         for (secret, right) in [("wort", true), ("wrong", false)] {
-            let world = World::default();
+            let world = EventLog::default();
             let mine = Some(account("desk", secret));
             let (controller, server) =
                 start_controller(&world, Iax2Secrets { users: None, account: mine }).await;
-            *server.examiner.borrow_mut() =
+            *server.authenticator.borrow_mut() =
                 Some(Authenticator::new(Users::parse(USERS).expect("valid TOML"), [1; 32]));
             let caller = IaxCaller::start(&world, "c", controller.iax2_at.expect("a port")).await;
             caller.open(&name(1), 3_000, 0, "x");
-            let established = world.answer(&name(1)).await.what == What::Ready("a".into());
+            let established = world.final_answer(&name(1)).await.kind == EventKind::Ready("a".into());
             assert_eq!(established, right, "{secret}");
             controller.stop().await;
         }
--- a/tests/iax2_registration.rs
+++ b/tests/iax2_registration.rs
@@ -18,7 +18,7 @@
 use lockpoint::interface::{Span, Time};
 use lockpoint::upstream::Todo;
 use support::iax2::{IaxCaller, IaxServer};
-use support::{name, on_one_thread, Controller, Does, What, World};
+use support::{name, on_one_thread, Controller, EventKind, EventLog, ServerBehaviour};
 
 const USERS: &str =
     "[user.s1]\nsecret = 'wort'\nserver = { cell = 2, zone = 'east' }\n[user.box]\nsecret = 'b'\n";
@@ -174,7 +174,7 @@
 #[test]
 fn calls_are_sent_to_a_registered_call_server_and_none_after_its_release() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let mut config = support::config("127.0.0.1:9".parse().expect("an address"));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         config.iax2 = Some(Iax2Config { tokens: TokenPolicy::Required, ..Iax2Config::at(any, any) });
@@ -182,11 +182,11 @@
             (None, Iax2Secrets { users: Users::parse(USERS).ok(), account: None });
         let controller = Controller::start(config).await;
         let at = controller.iax2_at.expect("a port");
-        let server = IaxServer::start(&world, "s1", Does::Answer("a".into())).await;
+        let server = IaxServer::start(&world, "s1", ServerBehaviour::Answer("a".into())).await;
         let me = account("s1", "wort");
-        let says = |what: &'static str| move |s: &support::Seen| matches!(&s.what, What::Other(said) if said.contains(what));
+        let says = |what: &'static str| move |s: &support::RecordedEvent| matches!(&s.kind, EventKind::Other(said) if said.contains(what));
         server.register(at, &me, false);
-        world.until("the registration is acknowledged", says("RegAck")).await;
+        world.wait_for("the registration is acknowledged", says("RegAck")).await;
         controller.holds_list().await;
         let caller = IaxCaller::start(&world, "c", at).await;
         *caller.account.borrow_mut() = Some(account("box", "b"));
@@ -195,23 +195,25 @@
         let answer = loop {
             n += 1;
             caller.open(&name(n), 5_000, 2, "x");
-            match world.answer(&name(n)).await.what {
-                What::Ready(body) => break body,
-                What::Close(42, Some(wait)) => tokio::time::sleep(Duration::from_millis(wait)).await,
+            match world.final_answer(&name(n)).await.kind {
+                EventKind::Ready(body) => break body,
+                EventKind::Close(42, Some(wait)) => tokio::time::sleep(Duration::from_millis(wait)).await,
                 other => panic!("{other:?}"),
             }
         };
         assert_eq!(answer, "a");
         let (first, next) = (name(n), name(n + 1));
         server.register(at, &me, true);
-        world.until_all("the release is acknowledged", 2, says("RegAck")).await;
+        world.wait_for_count("the release is acknowledged", 2, says("RegAck")).await;
         caller.open(&next, 1_500, 2, "x");
-        assert!(matches!(world.answer(&next).await.what, What::Close(..)));
-        assert_eq!(world.count(|s| s.sid == next && matches!(s.what, What::SetUp(..))), 0);
+        assert!(matches!(world.final_answer(&next).await.kind, EventKind::Close(..)));
+        assert_eq!(world.count(|s| s.sid == next && matches!(s.kind, EventKind::SetUp(..))), 0);
         // The established call continues: a release stops new calls only.
-        assert_eq!(world.count(|s| s.sid == first && matches!(s.what, What::Close(..))), 0);
+        assert_eq!(world.count(|s| s.sid == first && matches!(s.kind, EventKind::Close(..))), 0);
         server.release(&first, 16);
-        world.until("the release of the call", |s| s.sid == first && s.what == What::Close(16, None)).await;
+        world
+            .wait_for("the release of the call", |s| s.sid == first && s.kind == EventKind::Close(16, None))
+            .await;
         controller.stop().await;
     });
 }
--- a/tests/iax2_tokens.rs
+++ b/tests/iax2_tokens.rs
@@ -9,7 +9,7 @@
 use lockpoint::iax2::frame::{ie, parse, Datagram, Elements, Frame, Iax, Kind};
 use lockpoint::iax2::tokens::TokenPolicy;
 use support::iax2::{IaxCaller, IaxServer, Resolver, SERVICE};
-use support::{name, on_one_thread, Bulletin, Controller, Does, What, World};
+use support::{name, on_one_thread, Bulletin, Controller, EventKind, EventLog, ServerBehaviour};
 use tokio::net::UdpSocket;
 
 async fn controller(bulletin: &Bulletin, resolver: &Resolver, tokens: TokenPolicy) -> Controller {
@@ -25,18 +25,18 @@
 #[test]
 fn a_caller_presents_a_token_to_the_controller_and_the_controller_one_to_a_call_server() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
-        let server = IaxServer::start(&world, "i0", Does::Answer("a".into())).await;
-        *server.door.borrow_mut() = Door::new(TokenPolicy::Required, [9; 32]);
-        resolver.name_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
+        let server = IaxServer::start(&world, "i0", ServerBehaviour::Answer("a".into())).await;
+        *server.token_check.borrow_mut() = Door::new(TokenPolicy::Required, [9; 32]);
+        resolver.add_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
         let controller = controller(&bulletin, &resolver, TokenPolicy::Required).await;
         let at = controller.iax2_at.expect("a port");
         let caller = IaxCaller::start(&world, "c", at).await;
         caller.open(&name(1), 5_000, 0, "x");
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
         assert_eq!(
-            world.count(|s| matches!(s.what, What::SetUp(..))),
+            world.count(|s| matches!(s.kind, EventKind::SetUp(..))),
             1,
             "a NEW resent with a token is not a second attempt"
         );
@@ -50,10 +50,10 @@
 #[test]
 fn a_new_without_a_valid_token_leaves_no_state_and_is_answered_only_if_it_has_no_forged_token() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
-        let server = IaxServer::start(&world, "i0", Does::Answer("a".into())).await;
-        resolver.name_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
+        let server = IaxServer::start(&world, "i0", ServerBehaviour::Answer("a".into())).await;
+        resolver.add_server("i0", server.at, 1, &["cell=0".into(), "zone=east".into()]);
         let controller = controller(&bulletin, &resolver, TokenPolicy::Required).await;
         let raw = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         raw.connect(controller.iax2_at.expect("a port")).await.expect("connected");
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use lockpoint_lab::experiment::Experiment;
-use lockpoint_lab::run::{run, Show};
+use lockpoint_lab::run::{run, OutputOptions};
 use lockpoint_lab::world::on_one_thread;
 
 const EXPERIMENT: &str = r#"
@@ -31,8 +31,14 @@
 fn an_agent_under_load_loss_and_faults_keeps_every_rule_and_leaves_its_results() {
     let experiment = Experiment::parse(EXPERIMENT).expect("a good experiment");
     let program = Path::new(env!("CARGO_BIN_EXE_lockpoint"));
-    let outcome = on_one_thread(run(&experiment, program, Show::default())).expect("it runs");
-    assert!(outcome.kept(), "seed {}: {:?}, ended {}", outcome.seed, outcome.broken, outcome.ended);
+    let outcome = on_one_thread(run(&experiment, program, OutputOptions::default())).expect("it runs");
+    assert!(
+        outcome.passed(),
+        "seed {}: {:?}, ended {}",
+        outcome.seed,
+        outcome.violations,
+        outcome.stopped_cleanly
+    );
     for side in &outcome.sides {
         assert!(side.stood > 100, "{}: {} of {} stood", side.name, side.stood, side.asked);
     }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use serde_json::json;
 use support::iax2::{IaxCaller, Resolver, SERVICE};
-use support::{in_time, name, on_one_thread, Bulletin, Controller, Hand, What, Wire, World};
+use support::{in_time, name, on_one_thread, Bulletin, Controller, EventKind, EventLog, Hand, Wire};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
@@ -70,7 +70,7 @@
 
 /// A controller and its call server, with call 1 waiting where it is to wait.
 struct Scene {
-    world: World,
+    world: EventLog,
     controller: Controller,
     _bulletin: std::rc::Rc<Bulletin>,
     hand: Hand,
@@ -86,7 +86,7 @@
     }
 
     async fn with_config(waits: Waits, change: impl FnOnce(&mut lockpoint::config::InstanceConfig)) -> Scene {
-        let world = World::default();
+        let world = EventLog::default();
         let (hand, fill) = match waits {
             Waits::ComingUp => Hand::full("s0").await,
             _ => (Hand::start("s0").await, Vec::new()),
@@ -252,7 +252,7 @@
 #[test]
 fn a_line_of_set_ups_is_taken_back_and_what_had_left_is_given_up() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = Hand::narrow("s0").await;
         let (controller, _bulletin) = Controller::with_hands(&world, &[&hand], |c| {
             support::unhurried(c);
@@ -297,11 +297,11 @@
 #[test]
 fn an_unanswered_new_is_not_said_again_once_its_caller_has_left() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
         let server = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let at = server.local_addr().expect("an address");
-        resolver.name_server("i0", at, 1, &["cell=0".into(), "zone=east".into()]);
+        resolver.add_server("i0", at, 1, &["cell=0".into(), "zone=east".into()]);
         let mut config = support::config(bulletin.at);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         config.iax2 = Some(Iax2Config::at(any, any));
@@ -329,7 +329,7 @@
             }
         }
         assert_eq!(controller.instance.counters().given_up, 1);
-        let _ = world.count(|s| s.what == What::Closed);
+        let _ = world.count(|s| s.kind == EventKind::Closed);
     });
 }
 
--- a/tests/legs.rs
+++ b/tests/legs.rs
@@ -49,7 +49,7 @@
 
     fn transmit(&mut self, from: usize, out: Vec<Outgoing>) {
         for (_, bytes) in out {
-            for after in self.paths[from].fate() {
+            for after in self.paths[from].delivery_delays() {
                 self.sent += 1;
                 self.in_transit.push(Reverse((self.now.plus(after), self.sent, 1 - from, bytes.clone())));
             }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -8,7 +8,7 @@
 
 use lockpoint::control::{ask, Command as Asked, Reply, Request};
 use lockpoint_lab::bulletin::Bulletin;
-use lockpoint_lab::world::{on_one_thread, World};
+use lockpoint_lab::world::{on_one_thread, EventLog};
 use serde_json::Value;
 
 const FILE: &str = r#"
@@ -81,9 +81,9 @@
         while agent.failures().await < 3 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start_at(&world, at).await.expect("the same port");
-        bulletin.tell(true, Vec::new());
+        bulletin.publish(true, Vec::new());
         let stderr = agent.child.stderr.take().expect("its log");
         let read = tokio::task::spawn_blocking(move || {
             let mut said = Vec::new();
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -7,7 +7,10 @@
 
 use lockpoint::config::InstanceConfig;
 use rstest::rstest;
-use support::{host, name, on_one_thread, Bulletin, Caller, Controller, Does, SipServer, What, World};
+use support::{
+    list_entry, name, on_one_thread, Bulletin, Caller, Controller, EventKind, EventLog, ServerBehaviour,
+    SipServer,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -19,10 +22,10 @@
 }
 
 /// One call server that answers, a controller that has heard of it, and its console.
-async fn start(world: &World) -> (Controller, std::rc::Rc<SipServer>, SocketAddr) {
+async fn start(world: &EventLog) -> (Controller, std::rc::Rc<SipServer>, SocketAddr) {
     let bulletin = Bulletin::start(world).await;
-    let server = SipServer::start(world, "s0", Does::Answer("a".into())).await;
-    bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+    let server = SipServer::start(world, "s0", ServerBehaviour::Answer("a".into())).await;
+    bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
     let controller = Controller::start(with_console(bulletin.at)).await;
     controller.holds_list().await;
     let console = controller.console_at.expect("a console");
@@ -65,7 +68,7 @@
 #[case::without_end(vec![vec![b'P'; 129]], "FAILURE a line of more than")]
 fn a_line_is_answered_or_told_why_not(#[case] pieces: Vec<Vec<u8>>, #[case] answer: &str) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (_controller, _server, console) = start(&world).await;
         let got = say(console, &pieces).await;
         assert!(got.starts_with(answer) && got.lines().count() == 1, "{got}");
@@ -75,13 +78,13 @@
 #[test]
 fn ping_says_yes_once_calls_can_be_served() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".into())).await;
         let controller = Controller::start(with_console(bulletin.at)).await;
         let console = controller.console_at.expect("a console");
         assert!(call(console, "PING").await.starts_with("FAILURE no list"));
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         controller.holds_list().await;
         assert!(call(console, "PING").await.starts_with("SUCCESS"));
     });
@@ -91,7 +94,7 @@
 #[test]
 fn a_crowd_that_says_nothing_costs_no_real_call_its_answer() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (_controller, _server, console) = start(&world).await;
         let mut crowd = Vec::new();
         for n in 0..120 {
@@ -110,16 +113,16 @@
 #[test]
 fn the_figures_tell_how_requests_ended_and_what_is_held() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, server, console) = start(&world).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         for n in 1..=2 {
             caller.open(&name(n), 2_000, 0, "x").await;
-            world.answer(&name(n)).await;
+            world.final_answer(&name(n)).await;
         }
-        *server.does.borrow_mut() = Does::Refuse(503, String::new());
+        *server.behaviour.borrow_mut() = ServerBehaviour::Refuse(503, String::new());
         caller.open(&name(3), 2_000, 0, "x").await;
-        world.answer(&name(3)).await;
+        world.final_answer(&name(3)).await;
         let info = call(console, "INFO").await;
         assert!(info.starts_with("SUCCESS") && info.ends_with("\nEOT\n"), "{info}");
         let table = [
@@ -135,7 +138,7 @@
             assert_eq!(figure(&info, name), value, "{name}");
         }
         server.release(&name(1), 16);
-        world.until("the release", |s| s.sid == name(1) && s.what == What::Close(16, None)).await;
+        world.wait_for("the release", |s| s.sid == name(1) && s.kind == EventKind::Close(16, None)).await;
         assert_eq!(figure(&call(console, "INFO").await, "pending"), "1|g");
     });
 }
@@ -152,31 +155,31 @@
 #[test]
 fn a_drain_answers_what_was_taken_then_ends_connections_in_order_and_rejoin_brings_it_back() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, server, console) = start(&world).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
-        *server.does.borrow_mut() = Does::Silent;
+        world.final_answer(&name(1)).await;
+        *server.behaviour.borrow_mut() = ServerBehaviour::Silent;
         caller.open(&name(2), 9_000, 0, "x").await;
-        world.until("it is out", |s| s.sid == name(2) && matches!(s.what, What::SetUp(..))).await;
+        world.wait_for("it is out", |s| s.sid == name(2) && matches!(s.kind, EventKind::SetUp(..))).await;
         let idle = TcpStream::connect(controller.at).await.expect("it listens");
         for _ in 0..2 {
             assert!(call(console, "LAMEDUCK").await.starts_with("SUCCESS"));
         }
         assert!(!test_passes(controller.at).await, "tests fail at once");
         // New connections still come and are served.
-        *server.does.borrow_mut() = Does::Answer("b".into());
+        *server.behaviour.borrow_mut() = ServerBehaviour::Answer("b".into());
         let late = Caller::connect(&world, "late", controller.at).await;
         late.open(&name(3), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(3)).await.what, What::Ready("b".into()));
+        assert_eq!(world.final_answer(&name(3)).await.kind, EventKind::Ready("b".into()));
         // The idle one ends, in order; the call that stands keeps its way for the release.
         let mut rest = Vec::new();
         let mut idle = idle;
         let end = tokio::time::timeout(Duration::from_secs(2), idle.read_to_end(&mut rest)).await;
         assert!(matches!(end, Ok(Ok(0))), "{end:?}");
         server.release(&name(1), 16);
-        world.until("the release", |s| s.sid == name(1) && s.what == What::Close(16, None)).await;
+        world.wait_for("the release", |s| s.sid == name(1) && s.kind == EventKind::Close(16, None)).await;
         assert!(call(console, "PING").await.starts_with("SUCCESS"), "the process can serve");
         for _ in 0..2 {
             assert!(call(console, "REJOIN").await.starts_with("SUCCESS"));
@@ -184,7 +187,7 @@
         assert!(test_passes(controller.at).await, "tests pass again");
         let after = Caller::connect(&world, "after", controller.at).await;
         after.open(&name(4), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(4)).await.what, What::Ready("b".into()));
+        assert_eq!(world.final_answer(&name(4)).await.kind, EventKind::Ready("b".into()));
     });
 }
 
@@ -192,11 +195,11 @@
 #[test]
 fn a_drained_controller_holds_no_connection_after_four_seconds() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, _server, console) = start(&world).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         call(console, "LAMEDUCK").await;
         let began = std::time::Instant::now();
         // The call that stands keeps its connection for its release; what is asked on it late is refused at once.
@@ -204,12 +207,12 @@
         let refused = loop {
             n += 1;
             caller.open(&name(n), 9_000, 0, "x").await;
-            match world.answer(&name(n)).await.what {
-                What::Ready(_) => tokio::time::sleep(Duration::from_millis(20)).await,
+            match world.final_answer(&name(n)).await.kind {
+                EventKind::Ready(_) => tokio::time::sleep(Duration::from_millis(20)).await,
                 other => break other,
             }
         };
-        assert!(matches!(refused, What::Close(42, Some(_))) && n > 2, "{refused:?} for call {n}");
+        assert!(matches!(refused, EventKind::Close(42, Some(_))) && n > 2, "{refused:?} for call {n}");
         assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
         controller.turns("no connection is left", |i| i.counters().clients == 0).await;
         assert!(began.elapsed() < Duration::from_secs(4), "{:?}", began.elapsed());
--- a/tests/pieces.rs
+++ b/tests/pieces.rs
@@ -6,16 +6,18 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use support::{host, name, on_one_thread, Caller, Controller, Does, Seen, What, World};
+use support::{
+    list_entry, name, on_one_thread, Caller, Controller, EventKind, EventLog, RecordedEvent, ServerBehaviour,
+};
 
 const DESCRIPTION: &str = "v=0\r\n\u{e9}\u{1f0a1} \"quoted\"\r\n\r\n";
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && seen.what == what
+fn is(sid: &str, what: EventKind) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && seen.kind == what
 }
 
 /// Guards against parsers that take a fragment for a whole message. Bulletin, call server and caller send
@@ -23,26 +25,30 @@
 #[rstest]
 fn all_parsers_accept_fragments_of_any_size(#[values(1, 2, 3, 7, 50)] fragment: usize) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, bulletin) = Controller::with_servers(&world, &[answers(DESCRIPTION)]).await;
         servers[0].pieces.set(fragment);
         bulletin.pieces.set(fragment);
         let caller = Caller::connect(&world, "c", controller.at).await;
         for n in 1..=3 {
-            caller.say_in(fragment, b"\n\r\n").await;
-            caller.open_in(fragment, &name(n), 9_000, 0, DESCRIPTION).await;
-            assert_eq!(world.answer(&name(n)).await.what, What::Ready(DESCRIPTION.into()));
-            let asked =
-                world.until("the set-up", |s| matches!(s.what, What::SetUp(..)) && s.sid == name(n)).await;
-            let What::SetUp(_, _, description) = asked.what else { panic!("a set-up") };
+            caller.send_in_pieces(fragment, b"\n\r\n").await;
+            caller.open_in_pieces(fragment, &name(n), 9_000, 0, DESCRIPTION).await;
+            assert_eq!(world.final_answer(&name(n)).await.kind, EventKind::Ready(DESCRIPTION.into()));
+            let asked = world
+                .wait_for("the set-up", |s| matches!(s.kind, EventKind::SetUp(..)) && s.sid == name(n))
+                .await;
+            let EventKind::SetUp(_, _, description) = asked.kind else { panic!("a set-up") };
             assert_eq!(description, DESCRIPTION);
-            servers[0].say(b"\r\n\r\n");
+            servers[0].send(b"\r\n\r\n");
             servers[0].release(&name(n), 16);
-            world.until("the release", is(&name(n), What::Close(16, None))).await;
+            world.wait_for("the release", is(&name(n), EventKind::Close(16, None))).await;
         }
-        bulletin.tell(
+        bulletin.publish(
             false,
-            vec![host("s1", servers[0].at, 1, "draining"), host("s2", unused_address(), 2, "ready")],
+            vec![
+                list_entry("s1", servers[0].at, 1, "draining"),
+                list_entry("s2", unused_address(), 2, "ready"),
+            ],
         );
         controller.turns("the bulletin update", |i| i.servers().len() == 3).await;
         let c = controller.instance.counters();
@@ -62,24 +68,26 @@
 #[case::disconnects(true)]
 fn a_call_server_lost_within_an_answer_affects_only_its_own_connection(#[case] disconnects: bool) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let half = "SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSeq: 1 INVITE\r\nContent-Le";
-        let does = [Does::Say(half.to_owned()), answers("b")];
+        let does = [ServerBehaviour::Raw(half.to_owned()), answers("b")];
         let (controller, servers, _) = Controller::with_servers(&world, &does).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(2), 9_000, 1, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("b".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("b".into()));
         caller.open(&name(1), 9_000, 0, "x").await;
-        let first = world.until("the set-up", |s| s.who == "s0" && matches!(s.what, What::SetUp(..))).await;
+        let first = world
+            .wait_for("the set-up", |s| s.source == "s0" && matches!(s.kind, EventKind::SetUp(..)))
+            .await;
         if disconnects {
             servers[0].die();
         }
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("b".into()));
-        let again = world.until("again", |s| s.who == "s1" && s.sid == name(1)).await;
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("b".into()));
+        let again = world.wait_for("again", |s| s.source == "s1" && s.sid == name(1)).await;
         assert!(again.at - first.at >= Duration::from_millis(500), "{:?}", again.at - first.at);
         // Connections and calls of the other server are unaffected.
         servers[1].release(&name(2), 16);
-        world.until("the release", is(&name(2), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(2), EventKind::Close(16, None))).await;
     });
 }
 
@@ -90,13 +98,13 @@
 #[case::disconnects(true)]
 fn a_caller_lost_within_a_message_affects_only_its_own_connection(#[case] disconnects: bool) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         let other = Caller::connect(&world, "d", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
-        caller.say(b"{\"msg\":\"open\",\"sid\":\"").await;
+        world.final_answer(&name(1)).await;
+        caller.send(b"{\"msg\":\"open\",\"sid\":\"").await;
         if disconnects {
             caller.drop_connection();
         }
@@ -104,8 +112,8 @@
         // The established call continues; its release goes to the other connection.
         assert_eq!(controller.instance.counters().standing, 1);
         servers[0].release(&name(1), 16);
-        assert_eq!(world.until("the release", is(&name(1), What::Close(16, None))).await.who, "d");
+        assert_eq!(world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await.source, "d");
         other.open(&name(2), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("a".into()));
     });
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -4,58 +4,62 @@
 
 use std::time::Duration;
 
-use support::{host, name, on_one_thread, Bulletin, Caller, Controller, Does, Seen, SipServer, What, World};
+use support::{
+    list_entry, name, on_one_thread, Bulletin, Caller, Controller, EventKind, EventLog, RecordedEvent,
+    ServerBehaviour, SipServer,
+};
 
 const DESCRIPTION: &str =
     "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n\"\u{e9}\\\t";
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && seen.what == what
+fn is(sid: &str, what: EventKind) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && seen.kind == what
 }
 
-fn set_up_at(server: &str) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.who == server && matches!(seen.what, What::SetUp(..))
+fn set_up_at(server: &str) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.source == server && matches!(seen.kind, EventKind::SetUp(..))
 }
 
 #[test]
 fn a_call_gets_one_final_answer_and_all_passes_unchanged() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, _servers, _) = Controller::with_servers(&world, &[answers(DESCRIPTION)]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, DESCRIPTION).await;
         // The same set-up again is no new call.
         caller.open(&name(1), 2_000, 0, DESCRIPTION).await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready(DESCRIPTION.to_owned()));
-        let sent = world.until("the set-up", set_up_at("s0")).await;
-        let whole = What::SetUp("judge-call".into(), "7f3a9c21e0b4d655".into(), DESCRIPTION.into());
-        assert_eq!((sent.sid, sent.what), (name(1), whole));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready(DESCRIPTION.to_owned()));
+        let sent = world.wait_for("the set-up", set_up_at("s0")).await;
+        let whole = EventKind::SetUp("judge-call".into(), "7f3a9c21e0b4d655".into(), DESCRIPTION.into());
+        assert_eq!((sent.sid, sent.kind), (name(1), whole));
         let counters = controller.stop().await;
         assert_eq!(
             (counters.taken, counters.completed, counters.duplicates, counters.attempts),
             (1, 1, 1, 1)
         );
-        assert_eq!(world.count(|s| s.who == "c" && !matches!(s.what, What::Asked(_))), 1);
+        assert_eq!(world.count(|s| s.source == "c" && !matches!(s.kind, EventKind::Asked(_))), 1);
     });
 }
 
 #[test]
 fn a_call_given_up_on_is_refused_at_once_with_a_wait() {
     on_one_thread(async {
-        let world = World::default();
-        let full = Does::Refuse(503, "P-Reason: queue_long\r\nP-Line-Ms: 2500\r\n".into());
+        let world = EventLog::default();
+        let full = ServerBehaviour::Refuse(503, "P-Reason: queue_long\r\nP-Line-Ms: 2500\r\n".into());
         let (controller, _servers, _) = Controller::with_servers(&world, &[full.clone(), full]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        let asked = world.until("asked", |s| s.sid == name(1) && matches!(s.what, What::Asked(_))).await;
-        let answer = world.answer(&name(1)).await;
-        assert!(matches!(answer.what, What::Close(34 | 42 | 102, Some(wait)) if wait > 0), "{answer:?}");
+        let asked =
+            world.wait_for("asked", |s| s.sid == name(1) && matches!(s.kind, EventKind::Asked(_))).await;
+        let answer = world.final_answer(&name(1)).await;
+        assert!(matches!(answer.kind, EventKind::Close(34 | 42 | 102, Some(wait)) if wait > 0), "{answer:?}");
         assert!(answer.at - asked.at < Duration::from_secs(4), "held back for {:?}", answer.at - asked.at);
-        let refusals = world.all().into_iter().filter(|s| s.what == What::Refused).count();
+        let refusals = world.events().into_iter().filter(|s| s.kind == EventKind::Refused).count();
         assert!((1..=5).contains(&refusals));
     });
 }
@@ -63,13 +67,14 @@
 #[test]
 fn after_a_silent_server_the_second_attempt_waits_for_the_release() {
     on_one_thread(async {
-        let world = World::default();
-        let (controller, _servers, _) = Controller::with_servers(&world, &[Does::Silent, answers("y")]).await;
+        let world = EventLog::default();
+        let (controller, _servers, _) =
+            Controller::with_servers(&world, &[ServerBehaviour::Silent, answers("y")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
-        let cancel = world.until("the cancel", is(&name(1), What::Cancel)).await;
-        let second = world.until("the second attempt", set_up_at("s1")).await;
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
+        let cancel = world.wait_for("the cancel", is(&name(1), EventKind::Cancel)).await;
+        let second = world.wait_for("the second attempt", set_up_at("s1")).await;
         assert!(second.at >= cancel.at + Duration::from_millis(500), "{:?} after", second.at - cancel.at);
         assert_eq!(controller.instance.counters().held_back, 0);
     });
@@ -78,84 +83,84 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, bulletin) =
             Controller::with_servers(&world, &[answers("a"), answers("b")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        world.answer(&name(1)).await;
-        bulletin.tell(false, vec![host("s0", servers[0].at, 0, "draining")]);
-        let told = world.until_all("told", 2, |s| matches!(s.what, What::Told(_))).await[1].at;
+        world.final_answer(&name(1)).await;
+        bulletin.publish(false, vec![list_entry("s0", servers[0].at, 0, "draining")]);
+        let told = world.wait_for_count("told", 2, |s| matches!(s.kind, EventKind::Told(_))).await[1].at;
         // Calls keep coming; from 250 ms after the bulletin holds the drain none may reach it.
         for n in 2..60 {
             caller.open(&name(n), 2_000, 0, "x").await;
-            world.answer(&name(n)).await;
+            world.final_answer(&name(n)).await;
             tokio::time::sleep(Duration::from_millis(6)).await;
         }
-        let late = |s: &Seen| set_up_at("s0")(s) && s.at > told + Duration::from_millis(250);
+        let late = |s: &RecordedEvent| set_up_at("s0")(s) && s.at > told + Duration::from_millis(250);
         assert_eq!(world.count(late), 0);
         assert!(world.count(|s| set_up_at("s1")(s) && s.at > told + Duration::from_millis(250)) > 0);
         // What stands there stays up, and its end still comes through.
         servers[0].release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
     });
 }
 
 #[test]
 fn a_release_reaches_the_caller_on_another_connection_or_the_next() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let first = Caller::connect(&world, "first", controller.at).await;
         let second = Caller::connect(&world, "second", controller.at).await;
         for n in 1..=2 {
             first.open(&name(n), 2_000, 0, "x").await;
-            world.answer(&name(n)).await;
+            world.final_answer(&name(n)).await;
         }
         first.drop_connection();
         controller.turns("one connection left", |i| i.counters().clients == 1).await;
         servers[0].release(&name(1), 41);
-        let heard = world.until("the release", is(&name(1), What::Close(41, None))).await;
-        assert_eq!(heard.who, "second");
+        let heard = world.wait_for("the release", is(&name(1), EventKind::Close(41, None))).await;
+        assert_eq!(heard.source, "second");
         second.drop_connection();
         controller.turns("none left", |i| i.counters().clients == 0).await;
         servers[0].release(&name(2), 16);
         controller.turns("the release is in", |i| i.counters().standing == 0).await;
         let _third = Caller::connect(&world, "third", controller.at).await;
-        assert_eq!(world.until("it", is(&name(2), What::Close(16, None))).await.who, "third");
+        assert_eq!(world.wait_for("it", is(&name(2), EventKind::Close(16, None))).await.source, "third");
     });
 }
 
 #[test]
 fn a_caller_ends_its_call_on_any_connection_and_crossing_releases_meet() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         let other = Caller::connect(&world, "d", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         other.close(&name(1), 16).await;
-        assert_eq!(world.until("heard", is(&name(1), What::Closed)).await.who, "d");
-        world.until("ended there", is(&name(1), What::Bye(16))).await;
+        assert_eq!(world.wait_for("heard", is(&name(1), EventKind::Closed)).await.source, "d");
+        world.wait_for("ended there", is(&name(1), EventKind::Bye(16))).await;
         // The server's own release crossed: the caller has nothing more to hear.
         servers[0].release(&name(1), 16);
         servers[0].release(&name(9), 16);
-        world.until("the next one", is(&name(9), What::Close(16, None))).await;
-        assert_eq!(world.count(is(&name(1), What::Close(16, None))), 0);
+        world.wait_for("the next one", is(&name(9), EventKind::Close(16, None))).await;
+        assert_eq!(world.count(is(&name(1), EventKind::Close(16, None))), 0);
     });
 }
 
 #[test]
 fn a_server_that_dies_costs_its_calls_and_their_callers_hear_of_it() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         servers[0].die();
-        world.until("the release", is(&name(1), What::Close(41, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(41, None))).await;
         assert_eq!(controller.instance.counters().standing, 0);
     });
 }
@@ -164,79 +169,80 @@
 #[test]
 fn a_reset_connection_costs_no_call_that_stands() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         let before = controller.instance.counters().connected;
-        servers[0].reset();
+        servers[0].reset_connections();
         controller.turns("a connection is there anew", |i| i.counters().connected > before).await;
         assert_eq!(controller.instance.counters().standing, 1);
         servers[0].release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
     });
 }
 
 #[test]
 fn a_release_of_a_call_set_up_before_a_restart_is_passed_on() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let _caller = Caller::connect(&world, "c", controller.at).await;
         controller
             .turns("both are there", |i| i.counters().clients == 1 && i.counters().connected == 1)
             .await;
         servers[0].release(&name(7), 16);
-        world.until("the release", is(&name(7), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(7), EventKind::Close(16, None))).await;
         // And one that the caller ends is ended at the servers.
         _caller.close(&name(8), 16).await;
-        world.until("ended there", is(&name(8), What::Bye(16))).await;
+        world.wait_for("ended there", is(&name(8), EventKind::Bye(16))).await;
     });
 }
 
 #[test]
 fn a_test_passes_only_once_the_list_is_held() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", answers("a")).await;
         let controller = Controller::start(support::config(bulletin.at)).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         let test = b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n";
-        caller.say(test).await;
-        world.until("it fails", |s| s.what == What::Other("probed 0".into())).await;
+        caller.send(test).await;
+        world.wait_for("it fails", |s| s.kind == EventKind::Other("probed 0".into())).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        assert!(matches!(world.answer(&name(1)).await.what, What::Close(42, Some(_))));
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        assert!(matches!(world.final_answer(&name(1)).await.kind, EventKind::Close(42, Some(_))));
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         controller.holds_list().await;
-        caller.say(test).await;
-        world.until("it passes", |s| s.what == What::Other("probed 1".into())).await;
+        caller.send(test).await;
+        world.wait_for("it passes", |s| s.kind == EventKind::Other("probed 1".into())).await;
     });
 }
 
 #[test]
 fn asked_to_stop_it_still_accepts_for_a_while_and_finishes_what_it_took() {
     on_one_thread(async {
-        let world = World::default();
-        let (controller, _servers, _) = Controller::with_servers(&world, &[answers("a"), Does::Silent]).await;
+        let world = EventLog::default();
+        let (controller, _servers, _) =
+            Controller::with_servers(&world, &[answers("a"), ServerBehaviour::Silent]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 1, "x").await; // silent there, stands elsewhere over a second later
         controller.ask_to_stop();
         controller.turns("it stops", |i| i.stopping()).await;
         let late = Caller::connect(&world, "late", controller.at).await;
         late.open(&name(2), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("a".into()));
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.taken), (0, 2));
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
     });
 }
 
 #[test]
 fn malformed_bytes_cost_their_message_or_connection_alone() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, bulletin) = Controller::with_servers(&world, &[answers("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         let other = Caller::connect(&world, "d", controller.at).await;
@@ -244,20 +250,20 @@
         let bad =
             [&b"{\"msg\":\"open\"\n"[..], b"[]\n", b"\xff\xfe\n", b"{\"msg\":\"open\",\"sid\":\"short\"}\n"];
         for line in bad {
-            Caller::connect(&world, "bad", controller.at).await.say(line).await;
+            Caller::connect(&world, "bad", controller.at).await.send(line).await;
         }
         let lacking = format!("{{\"msg\":\"open\",\"sid\":\"{}\"}}\n", name(9));
-        caller.say(lacking.as_bytes()).await;
-        world.until("told by name", is(&name(9), What::Close(100, None))).await;
+        caller.send(lacking.as_bytes()).await;
+        world.wait_for("told by name", is(&name(9), EventKind::Close(100, None))).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         // A message that cannot be read costs its connection, which is made anew.
-        servers[0].say(b"NOISE\r\nContent-Length: 3\r\n\r\nabc");
-        bulletin.tell(false, vec![serde_json::json!({"host": 5})]);
+        servers[0].send(b"NOISE\r\nContent-Length: 3\r\n\r\nabc");
+        bulletin.publish(false, vec![serde_json::json!({"host": 5})]);
         caller.open(&name(2), 2_000, 0, "x").await;
-        world.answer(&name(2)).await;
-        servers[0].say(b"NOTIFY sip:a@b SIP/2.0\r\n\r\n");
-        other.say(&[b'x'; 20_000]).await;
+        world.final_answer(&name(2)).await;
+        servers[0].send(b"NOTIFY sip:a@b SIP/2.0\r\n\r\n");
+        other.send(&[b'x'; 20_000]).await;
         controller
             .turns("both are counted", |i| {
                 let c = i.counters();
@@ -268,7 +274,7 @@
             })
             .await;
         caller.open(&name(3), 2_000, 0, "x").await;
-        assert_eq!(world.answer(&name(3)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(3)).await.kind, EventKind::Ready("a".into()));
         assert_eq!(controller.instance.counters().standing, 3);
     });
 }
--- a/tests/recovery_processes.rs
+++ b/tests/recovery_processes.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 use lockpoint::core::Sid;
-use lockpoint_lab::bulletin::{host, Bulletin};
+use lockpoint_lab::bulletin::{list_entry, Bulletin};
 use lockpoint_lab::callers::Caller;
 use lockpoint_lab::fleet::processes::{settings, Processes};
-use lockpoint_lab::sip::{Does, SipServer};
-use lockpoint_lab::world::{on_one_thread, Seen, What, World};
+use lockpoint_lab::sip::{ServerBehaviour, SipServer};
+use lockpoint_lab::world::{on_one_thread, EventKind, EventLog, RecordedEvent};
 use serde_json::{json, Value};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lockpoint");
@@ -18,7 +18,7 @@
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
 
 struct Setup {
-    world: World,
+    world: EventLog,
     servers: Vec<Rc<SipServer>>,
     fleet: Processes,
     calls: u64,
@@ -28,14 +28,15 @@
     /// Starts two call servers, s0 and s1, and controllers that keep records and exchange observations.
     async fn start(controllers: u16, seed: u64) -> Setup {
         println!("seed {seed}");
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
         let mut servers = Vec::new();
         for name in ["s0", "s1"] {
-            servers.push(SipServer::start(&world, name, Does::Answer("v=0\r\n".into())).await);
+            servers.push(SipServer::start(&world, name, ServerBehaviour::Answer("v=0\r\n".into())).await);
         }
-        let entries = servers.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
-        bulletin.tell(true, entries.collect());
+        let entries =
+            servers.iter().zip(0..).map(|(server, n)| list_entry(&server.name, server.at, n, "ready"));
+        bulletin.publish(true, entries.collect());
         let fleet = Processes::prepare(Path::new(PROGRAM), controllers, bulletin.at, &settings(), seed).await;
         let mut fleet = fleet.expect("a fleet");
         (fleet.shares, fleet.store) = (Some(json!({})), Some(json!({})));
@@ -54,8 +55,8 @@
             self.calls += 1;
             let sid = Sid::from_number(0x3000 + self.calls).to_string();
             caller.open(&sid, 5_000, cell, "v=0\r\n").await;
-            match self.world.answer(&sid).await.what {
-                What::Ready(_) => return sid,
+            match self.world.final_answer(&sid).await.kind {
+                EventKind::Ready(_) => return sid,
                 _ => assert!(Instant::now() < end, "no call was established within 30 s"),
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -71,9 +72,11 @@
         assert!(batches > Some(0));
     }
 
-    fn releases(&self, sid: &str) -> Vec<Seen> {
-        let all = self.world.all().into_iter();
-        let released = |s: &Seen| s.sid == sid && s.who == "caller" && matches!(s.what, What::Close(..));
+    fn releases(&self, sid: &str) -> Vec<RecordedEvent> {
+        let all = self.world.events().into_iter();
+        let released = |s: &RecordedEvent| {
+            s.sid == sid && s.source == "caller" && matches!(s.kind, EventKind::Close(..))
+        };
         all.filter(released).collect()
     }
 }
@@ -95,7 +98,7 @@
             setup.fleet.kill(me).await;
         }
         // Meanwhile one call server dies, and the other releases one call of each controller.
-        setup.servers[0].until_alone().await;
+        setup.servers[0].wait_until_disconnected().await;
         setup.servers[1].die();
         let ended: Vec<String> = (0..3).map(|me| calls[me * 4].2.clone()).collect();
         ended.iter().for_each(|sid| setup.servers[0].release(sid, 16));
@@ -116,9 +119,10 @@
             let name = format!("the release of {sid}, cell {cell} of c{me}");
             if is_over {
                 let cause = if *cell == 1 { 41 } else { 16 };
-                let is_release =
-                    |s: &Seen| s.sid == *sid && matches!(s.what, What::Close(c, _) if c == cause);
-                let release = setup.world.until(&name, is_release).await;
+                let is_release = |s: &RecordedEvent| {
+                    s.sid == *sid && matches!(s.kind, EventKind::Close(c, _) if c == cause)
+                };
+                let release = setup.world.wait_for(&name, is_release).await;
                 let restart = restarts.iter().find(|(other, _)| other == me).map(|(_, at)| *at);
                 assert!(release.at.duration_since(restart.expect("a restart")) < RELEASE_TIMEOUT, "{name}");
             } else {
@@ -127,7 +131,10 @@
                     "call {sid} was released, but should still be established"
                 );
                 setup.servers[0].release(sid, 16);
-                setup.world.until(&name, |s| s.sid == *sid && matches!(s.what, What::Close(16, _))).await;
+                setup
+                    .world
+                    .wait_for(&name, |s| s.sid == *sid && matches!(s.kind, EventKind::Close(16, _)))
+                    .await;
             }
         }
         // By now all releases have been sent, each exactly once.
@@ -154,10 +161,12 @@
         caller.close(&sid, 16).await;
         setup
             .world
-            .until("the call is ended at s1", |s| s.sid == sid && s.who == "s1" && s.what == What::Bye(16))
+            .wait_for("the call is ended at s1", |s| {
+                s.sid == sid && s.source == "s1" && s.kind == EventKind::Bye(16)
+            })
             .await;
         setup.establish_call(&caller, 0).await;
-        let elsewhere = setup.world.count(|s| s.sid == sid && s.who == "s0");
+        let elsewhere = setup.world.count(|s| s.sid == sid && s.source == "s0");
         assert_eq!(elsewhere, 0, "s0 received messages about the call");
         assert!(setup.fleet.stop().await);
     });
@@ -171,14 +180,16 @@
         setup.establish_call(&caller, 0).await;
         setup.wait_until_persisted(0, 3).await;
         // When the power is lost, one attempt is outstanding and unanswered.
-        *setup.servers[1].does.borrow_mut() = Does::Silent;
+        *setup.servers[1].behaviour.borrow_mut() = ServerBehaviour::Silent;
         let sid = Sid::from_number(0x9000).to_string();
         caller.open(&sid, 5_000, 1, "v=0\r\n").await;
         setup
             .world
-            .until("the set-up reaches a call server", |s| s.sid == sid && matches!(s.what, What::SetUp(..)))
+            .wait_for("the set-up reaches a call server", |s| {
+                s.sid == sid && matches!(s.kind, EventKind::SetUp(..))
+            })
             .await;
-        *setup.servers[1].does.borrow_mut() = Does::Answer("v=0\r\n".into());
+        *setup.servers[1].behaviour.borrow_mut() = ServerBehaviour::Answer("v=0\r\n".into());
         setup.fleet.kill(0).await;
         setup.fleet.kill(1).await;
         let lost = Instant::now();
@@ -186,8 +197,11 @@
         // The caller repeats the set-up, each time as a new call, until one is established.
         let caller = setup.caller(0).await;
         setup.establish_call(&caller, 1).await;
-        let set_ups =
-            setup.world.all().into_iter().filter(|s| matches!(s.what, What::SetUp(..)) && s.at > lost);
+        let set_ups = setup
+            .world
+            .events()
+            .into_iter()
+            .filter(|s| matches!(s.kind, EventKind::SetUp(..)) && s.at > lost);
         let first = set_ups.map(|s| s.at).min().expect("at least one set-up");
         assert!(first.duration_since(lost) >= Duration::from_millis(500), "{:?}", first.duration_since(lost));
         assert!(setup.fleet.stop().await);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -9,36 +9,41 @@
 
 use serde_json::{json, Value};
 use support::{
-    host, name, on_one_thread, settings, Bulletin, Caller, Controller, Does, SipServer, What, World,
+    list_entry, name, on_one_thread, settings, Bulletin, Caller, Controller, EventKind, EventLog,
+    ServerBehaviour, SipServer,
 };
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
 /// Guards against news lost between two bulletins, and against calls or counts lost by a reload.
 #[test]
 fn a_reload_moves_to_the_new_bulletin_and_loses_no_call_and_no_count() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, old) = Controller::with_servers(&world, &[answers("a")]).await;
         let other = SipServer::start(&world, "s1", answers("b")).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         // The new one carries the numbers on: it has the old events and one that the old one never told.
         let next = Bulletin::start(&world).await;
-        next.tell(true, vec![host("s0", servers[0].at, 0, "ready")]);
-        next.tell(false, vec![host("s0", servers[0].at, 0, "gone"), host("s1", other.at, 1, "ready")]);
+        next.publish(true, vec![list_entry("s0", servers[0].at, 0, "ready")]);
+        next.publish(
+            false,
+            vec![list_entry("s0", servers[0].at, 0, "gone"), list_entry("s1", other.at, 1, "ready")],
+        );
         assert!(controller.instance.reload(support::config(next.at)).is_empty());
         controller.turns("the new list", |i| i.servers().iter().any(|line| line.host == "s1")).await;
         // What the old one tells from now on is no news.
-        old.tell(false, vec![host("s1", other.at, 1, "gone")]);
+        old.publish(false, vec![list_entry("s1", other.at, 1, "gone")]);
         caller.open(&name(2), 2_000, 1, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("b".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("b".into()));
         servers[0].release(&name(1), 16);
-        let released = |seen: &support::Seen| seen.sid == name(1) && seen.what == What::Close(16, None);
-        world.until("the release of the call that stood before", released).await;
+        let released =
+            |seen: &support::RecordedEvent| seen.sid == name(1) && seen.kind == EventKind::Close(16, None);
+        world.wait_for("the release of the call that stood before", released).await;
         let c = controller.instance.counters();
         assert_eq!((c.taken, c.completed, c.clients, c.reloads), (2, 2, 1, 1));
     });
@@ -48,7 +53,7 @@
 #[test]
 fn a_reload_names_what_only_a_restart_can_change() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, _servers, bulletin) = Controller::with_servers(&world, &[answers("a")]).await;
         let mut config = support::config(bulletin.at);
         config.listen = Some("127.0.0.1:9".parse().expect("an address"));
@@ -57,7 +62,7 @@
         assert_eq!(controller.instance.reload(config), ["listen", "console", "settings.classes"]);
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 2_000, 0, "x").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
     });
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -12,10 +12,10 @@
 use lockpoint::core::Sid;
 use lockpoint::counters::Counters;
 use lockpoint::instance::{Bound, Instance};
-pub use lockpoint_lab::bulletin::{host, Break, Bulletin};
+pub use lockpoint_lab::bulletin::{list_entry, Bulletin, ResponseFault};
 pub use lockpoint_lab::callers::Caller;
-pub use lockpoint_lab::sip::{Does, SipServer};
-pub use lockpoint_lab::world::{on_one_thread, Seen, What, World};
+pub use lockpoint_lab::sip::{ServerBehaviour, SipServer};
+pub use lockpoint_lab::world::{on_one_thread, EventKind, EventLog, RecordedEvent};
 use serde_json::{json, Value};
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
@@ -66,16 +66,17 @@
 
     /// Starts with one SIP call server for each cell, and waits until the list is held.
     pub async fn with_servers(
-        world: &World,
-        does: &[Does],
+        world: &EventLog,
+        does: &[ServerBehaviour],
     ) -> (Controller, Vec<Rc<SipServer>>, Rc<Bulletin>) {
         let bulletin = Bulletin::start(world).await;
         let mut servers = Vec::new();
         for (cell, does) in does.iter().enumerate() {
             servers.push(SipServer::start(world, &format!("s{cell}"), does.clone()).await);
         }
-        let hosts = servers.iter().enumerate().map(|(cell, s)| host(&s.name, s.at, cell as u16, "ready"));
-        bulletin.tell(true, hosts.collect());
+        let hosts =
+            servers.iter().enumerate().map(|(cell, s)| list_entry(&s.name, s.at, cell as u16, "ready"));
+        bulletin.publish(true, hosts.collect());
         let controller = Controller::start(config(bulletin.at)).await;
         controller.holds_list().await;
         (controller, servers, bulletin)
@@ -178,7 +179,7 @@
     }
     /// The line of the list.
     pub fn host(&self, cell: u16, health: &str) -> Value {
-        host(&self.name, self.at, cell, health)
+        list_entry(&self.name, self.at, cell, health)
     }
 }
 
@@ -243,12 +244,12 @@
 impl Controller {
     /// Starts with these call servers, one for each cell, told by a bulletin.
     pub async fn with_hands(
-        world: &World,
+        world: &EventLog,
         hands: &[&Hand],
         change: impl FnOnce(&mut InstanceConfig),
     ) -> (Controller, Rc<Bulletin>) {
         let bulletin = Bulletin::start(world).await;
-        bulletin.tell(true, (0..).zip(hands).map(|(cell, hand)| hand.host(cell, "ready")).collect());
+        bulletin.publish(true, (0..).zip(hands).map(|(cell, hand)| hand.host(cell, "ready")).collect());
         let mut config = config(bulletin.at);
         change(&mut config);
         let controller = Controller::start(config).await;
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -15,14 +15,15 @@
 use rstest::rstest;
 use serde_json::json;
 use support::{
-    host, name, on_one_thread, settings, Break, Bulletin, Caller, Does, Seen, SipServer, What, World,
+    list_entry, name, on_one_thread, settings, Bulletin, Caller, EventKind, EventLog, RecordedEvent,
+    ResponseFault, ServerBehaviour, SipServer,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 /// The platform's side of a controller: its folder, its listening socket, its call server and bulletin.
 struct Place {
-    world: World,
+    world: EventLog,
     dir: PathBuf,
     held: TcpListener,
     bulletin: Rc<Bulletin>,
@@ -32,9 +33,9 @@
 }
 
 impl Place {
-    async fn new(test: &str, does: Does) -> Place {
+    async fn new(test: &str, does: ServerBehaviour) -> Place {
         static PLACES: AtomicUsize = AtomicUsize::new(0);
-        let world = World::default();
+        let world = EventLog::default();
         let no = PLACES.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("lockpoint-{test}-{}-{no}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
@@ -42,7 +43,7 @@
         rustix::io::fcntl_setfd(&held, rustix::io::FdFlags::empty()).expect("children inherit it");
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", does).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         Place { world, dir, held, bulletin, server, no, consoles: Cell::new(0) }
     }
 
@@ -156,16 +157,16 @@
     }
 }
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && seen.what == what
+fn is(sid: &str, what: EventKind) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && seen.kind == what
 }
 
-fn set_up(sid: &str) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && matches!(seen.what, What::SetUp(..))
+fn set_up(sid: &str) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && matches!(seen.kind, EventKind::SetUp(..))
 }
 
 /// Guards against calls, answers and releases lost, or attempts sent twice, where one process follows another.
@@ -178,17 +179,17 @@
         let caller = Caller::connect(world, "c", place.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         caller.open(&name(2), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
-        world.answer(&name(2)).await;
+        world.final_answer(&name(1)).await;
+        world.final_answer(&name(2)).await;
         // One that is out, and one of which half has come.
-        *place.server.does.borrow_mut() = Does::Silent;
+        *place.server.behaviour.borrow_mut() = ServerBehaviour::Silent;
         caller.open(&name(3), 9_000, 0, "x").await;
-        world.until("it is out", set_up(&name(3))).await;
+        world.wait_for("it is out", set_up(&name(3))).await;
         let half = format!(
             r#"{{"msg":"open","sid":"{}","attrs":{{"class":"judge-call","left":"9000","key":"7f3a"}},"te"#,
             name(4)
         );
-        caller.say(half.as_bytes()).await;
+        caller.send(half.as_bytes()).await;
         tokio::time::sleep(Duration::from_millis(20)).await; // read by then, or read by the next one: both must hold
 
         let second = place.start().await;
@@ -203,18 +204,18 @@
             "SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 4\r\n\r\nlate",
             name(3)
         );
-        place.server.say(out.as_bytes());
-        assert_eq!(world.answer(&name(3)).await.what, What::Ready("late".into()));
-        *place.server.does.borrow_mut() = answers("b");
-        caller.say(b"xt\":\"y\"}\n").await;
-        assert_eq!(world.answer(&name(4)).await.what, What::Ready("b".into()));
+        place.server.send(out.as_bytes());
+        assert_eq!(world.final_answer(&name(3)).await.kind, EventKind::Ready("late".into()));
+        *place.server.behaviour.borrow_mut() = answers("b");
+        caller.send(b"xt\":\"y\"}\n").await;
+        assert_eq!(world.final_answer(&name(4)).await.kind, EventKind::Ready("b".into()));
         // Releases from either side find their calls.
         place.server.release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
         caller.close(&name(2), 16).await;
-        world.until("ended there", is(&name(2), What::Bye(16))).await;
+        world.wait_for("ended there", is(&name(2), EventKind::Bye(16))).await;
         for n in 1..=4 {
-            let finals = |s: &Seen| s.sid == name(n) && matches!(s.what, What::Ready(_));
+            let finals = |s: &RecordedEvent| s.sid == name(n) && matches!(s.kind, EventKind::Ready(_));
             assert_eq!((world.count(set_up(&name(n))), world.count(finals)), (1, 1), "call {n}");
         }
         assert!(second.call("INFO").await.contains("judge-call.completed:2|c"));
@@ -223,14 +224,14 @@
 
 /// Guards against a drain that is heard late because the bulletin stalled, or broke off, while the process was replaced.
 #[rstest]
-#[case::breaks_off(Break::Off)]
-#[case::stalls(Break::Stall)]
-fn a_bulletin_that_spoils_its_answer_during_an_upgrade_is_asked_again_in_time(#[case] how: Break) {
+#[case::breaks_off(ResponseFault::Truncate)]
+#[case::stalls(ResponseFault::Stall)]
+fn a_bulletin_that_spoils_its_answer_during_an_upgrade_is_asked_again_in_time(#[case] how: ResponseFault) {
     on_one_thread(async {
         let place = Place::new("bulletin", answers("a")).await;
         let first = place.start().await;
-        place.bulletin.breaks.set(Some(how));
-        place.bulletin.tell(false, vec![host("s0", place.server.at, 0, "draining")]);
+        place.bulletin.response_fault.set(Some(how));
+        place.bulletin.publish(false, vec![list_entry("s0", place.server.at, 0, "draining")]);
         let told = Instant::now();
         let second = place.start().await;
         until("the drain is heard", async || second.call("INFO").await.contains("members_unavailable:1|g"))
@@ -252,7 +253,7 @@
         let caller = Caller::connect(world, "c", place.at()).await;
         for n in 1..=4 {
             caller.open(&name(n), 9_000, 0, "x").await;
-            assert_eq!(world.answer(&name(n)).await.what, What::Ready("a".into()));
+            assert_eq!(world.final_answer(&name(n)).await.kind, EventKind::Ready("a".into()));
             now.signal("-HUP");
             let next = place.start().await;
             let (code, log) = std::mem::replace(&mut now, next).end().await;
@@ -262,8 +263,8 @@
         assert!(now.call("LAMEDUCK").await.starts_with("SUCCESS"));
         let next = place.start().await;
         assert_eq!(std::mem::replace(&mut now, next).end().await.0, Some(0));
-        caller.say(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
-        world.until("still not ready", |s| s.what == What::Other("probed 0".into())).await;
+        caller.send(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
+        world.wait_for("still not ready", |s| s.kind == EventKind::Other("probed 0".into())).await;
         assert!(now.call("REJOIN").await.starts_with("SUCCESS"));
         now.signal("-TERM");
         assert_eq!(now.end().await.0, Some(0));
@@ -279,7 +280,7 @@
         let mut first = place.start().await;
         let caller = Caller::connect(world, "c", place.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         // One whose file is bad, and one whose peers' address cannot be opened.
         let bad = place.start_with(place.a_console(), |text| text["settings"] = json!(5));
         let (code, log) = bad.end().await;
@@ -290,9 +291,9 @@
         assert_eq!(busy.end().await.0, Some(2));
         assert!(first.runs());
         caller.open(&name(2), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("a".into()));
         place.server.release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
     });
 }
 
@@ -313,7 +314,7 @@
         let mut first = place.start().await;
         let caller = Caller::connect(world, "c", place.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         let _stays;
         match says {
             None => {
@@ -329,13 +330,13 @@
             }
         }
         caller.open(&name(2), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("a".into()));
         assert!(first.runs());
         // And a real one still takes over.
         let _second = place.start().await;
         assert_eq!(first.end().await.0, Some(0));
         place.server.release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
     });
 }
 
@@ -352,7 +353,7 @@
         let second = place.start().await;
         let caller = Caller::connect(world, "c", place.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
         // And the second is found in its turn.
         let _third = place.start().await;
         assert_eq!(second.end().await.0, Some(0));
@@ -372,17 +373,17 @@
         let world = &place.world;
         let first = place.start().await;
         let caller = Caller::connect(world, "c", place.at()).await;
-        *place.server.does.borrow_mut() = Does::Silent;
+        *place.server.behaviour.borrow_mut() = ServerBehaviour::Silent;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.until("it is out", set_up(&name(1))).await;
+        world.wait_for("it is out", set_up(&name(1))).await;
         let second = place.start_with(place.a_console(), |text| {
             *text.pointer_mut(key).expect("there") = value.clone();
         });
         until("it can serve", async || second.call("PING").await.starts_with("SUCCESS")).await;
         let out =
             format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny", name(1));
-        place.server.say(out.as_bytes());
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        place.server.send(out.as_bytes());
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let (code, log) = first.end().await;
         assert!(log.contains("asked to leave by a successor that starts anew"), "{log}");
         assert_eq!(code, Some(0), "{log}");
@@ -401,8 +402,8 @@
         let (code, log) = second.end().await;
         assert!(code == Some(2) && log.contains("cannot listen at"), "{log}");
         let caller = Caller::connect(&place.world, "c", place.at()).await;
-        caller.say(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
-        place.world.until("it is ready", |s| s.what == What::Other("probed 1".into())).await;
+        caller.send(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
+        place.world.wait_for("it is ready", |s| s.kind == EventKind::Other("probed 1".into())).await;
         assert!(first.runs());
         // One that can use it gets the same console from the predecessor.
         let third = place.start_with(first.console, |_| ());
@@ -410,7 +411,7 @@
         assert_eq!(code, Some(0), "{log}");
         until("it can serve", async || third.call("PING").await.starts_with("SUCCESS")).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(place.world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(place.world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
     });
 }
 
@@ -463,11 +464,11 @@
 #[test]
 fn a_hand_over_with_calls_that_wait() {
     on_one_thread(async {
-        let place = Place::new("waits", Does::Silent).await;
+        let place = Place::new("waits", ServerBehaviour::Silent).await;
         let world = &place.world;
         let hand = support::Hand::start("s1").await;
         let (late, fill) = support::Hand::full("s2").await;
-        place.bulletin.tell(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
+        place.bulletin.publish(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
         let long = |text: &mut serde_json::Value| {
             text["settings"]["bounds"]["connect-timeout-us"] = json!(60_000_000u64);
         };
@@ -478,7 +479,7 @@
         let caller = Caller::connect(world, "c", place.at()).await;
         caller.open(&name(2), 9_000, 2, "x").await;
         caller.open(&name(3), 9_000, 0, "x").await;
-        world.until("it is out", set_up(&name(3))).await;
+        world.wait_for("it is out", set_up(&name(3))).await;
         caller.open(&name(1), 9_000, 1, "x").await;
         assert_eq!(wire.hears("INVITE").await, name(1));
         let reset = Instant::now();
@@ -489,12 +490,12 @@
         caller.close(&name(3), 16).await;
         let (code, log) = first.end().await;
         assert_eq!(code, Some(0), "{log}");
-        world.until("the end of the one that was out", is(&name(3), What::Cancel)).await;
+        world.wait_for("the end of the one that was out", is(&name(3), EventKind::Cancel)).await;
         // The rest that began in one process ends in the other.
         let call = name(1);
         let again = tokio::select! {
             call = wire.hears("INVITE") => call,
-            seen = world.until("elsewhere", set_up(&call)) => seen.sid,
+            seen = world.wait_for("elsewhere", set_up(&call)) => seen.sid,
         };
         assert_eq!(again, name(1));
         assert!(reset.elapsed() >= Duration::from_millis(500), "after {:?}", reset.elapsed());
@@ -505,9 +506,9 @@
                 "SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny",
                 name(1)
             );
-            place.server.say(text.as_bytes());
+            place.server.send(text.as_bytes());
         }
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         // The connection that one process had begun, the other makes.
         drop(fill);
         let mut kept = Vec::new();
@@ -522,11 +523,13 @@
             }
             kept.push(wire);
         }
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("z".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("z".into()));
         let info = second.call("INFO").await;
         assert!(info.contains("controller.pending:2|g"), "two stand and nothing waits: {info}");
         for n in 1..=3 {
-            let finals = |s: &Seen| s.sid == name(n) && matches!(s.what, What::Ready(_) | What::Close(..));
+            let finals = |s: &RecordedEvent| {
+                s.sid == name(n) && matches!(s.kind, EventKind::Ready(_) | EventKind::Close(..))
+            };
             assert_eq!(world.count(finals), usize::from(n < 3), "call {n}");
         }
     });
