--- a/crates/lockpoint-lab/src/processor.rs
+++ b/crates/lockpoint-lab/src/processor.rs
@@ -1,5 +1,6 @@
-//! A call server's processor: one line of work, a queue, turning away, a cold start, and falling over. No socket and no
-//! clock here; all figures are the model's own, no measurement of a real machine.
+//! The model of a call server's processor: a single server with a queue that rejects set-ups when it is full, is slow after
+//! a cold start and crashes when overloaded while cold. It uses no socket and reads no clock. Its figures are not
+//! measurements of a real call server.
 
 use std::collections::VecDeque;
 
@@ -10,32 +11,32 @@
 
 use crate::path::random_fraction;
 
-/// Shares of a call's work that its set-up, its answer and its release take.
-const SHARES: (f64, f64, f64) = (0.6, 0.15, 0.25);
-/// What turning a set-up away costs, as a share of a whole call's work.
-const TURNING_AWAY: f64 = 0.1;
-/// A little slack for chance before a cold processor falls over: so many calls beyond the budget.
-const TIP_SLACK: f64 = 4.0;
+/// The shares of a call's work that its set-up, its answer and its release take.
+const WORK_SHARES: (f64, f64, f64) = (0.6, 0.15, 0.25);
+/// The work of rejecting a set-up, as a share of a whole call's work.
+const REJECTION_WORK: f64 = 0.1;
+/// A cold processor crashes only when it is offered this many calls beyond its budget, to allow for random bursts.
+const CRASH_SLACK_CALLS: f64 = 4.0;
 
-/// What a processor is like.
+/// The properties of a processor.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProcessorConfig {
-    /// Calls a second, from set-up to release, when warm.
+    /// Whole calls per second, from set-up to release, when warm.
     pub capacity: f64,
-    /// Set-ups that would wait longer than this are turned away, in milliseconds.
+    /// Set-ups that would queue for longer than this are rejected, in milliseconds.
     pub longest_wait_ms: u64,
-    /// The share of its capacity that it starts with.
+    /// The share of its capacity right after a start.
     pub cold_share: f64,
-    /// How long it takes to be warm, in milliseconds.
+    /// The time from a start until it is warm, in milliseconds.
     pub cold_ms: u64,
-    /// More work than this multiple of its present capacity ...
+    /// A cold processor crashes when the work offered within `tip_ms` exceeds this multiple of its present capacity.
     pub overload_factor: f64,
-    /// ... within so many milliseconds makes a cold one fall over.
+    /// The window of `overload_factor`, in milliseconds.
     pub tip_ms: u64,
-    /// Reports show what was so many milliseconds ago ...
+    /// The age of the state that a load report shows, in milliseconds.
     pub report_late_ms: u64,
-    /// ... wrong by up to this share.
+    /// The largest relative error of a load report.
     pub report_noise: f64,
 }
 
@@ -54,110 +55,110 @@
     }
 }
 
-/// What becomes of a set-up.
+/// The processor's decision on a set-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is answered at this time.
+    /// The set-up is answered at this time.
     Accepted(Time),
-    /// It is turned away at this time, for a wait so long.
+    /// The set-up is rejected at this time; the span is the queueing delay.
     Rejected(Time, Span),
-    /// It was too much for a cold processor: the machine is down.
+    /// The cold processor was overloaded: the call server crashes.
     Crashed,
 }
 
-/// A processor at work.
+/// A processor and its queue.
 #[derive(Debug, Clone)]
 pub struct Processor {
     config: ProcessorConfig,
-    /// When the process started; `None`: long ago, so that it is warm.
-    born: Option<Time>,
-    /// Of its usual speed.
+    /// When the process started; `None`: it has always been warm.
+    started: Option<Time>,
+    /// The speed as a share of the usual one.
     speed: f64,
-    /// When all that was taken so far is done.
+    /// When all accepted work is done.
     free_at: Time,
-    /// Work offered in the last `tip_ms`, in warm seconds.
+    /// Work offered within the last `tip_ms`, in seconds of a warm processor.
     recent: VecDeque<(Time, f64)>,
-    /// How busy it was and how much waited, for reports that come late.
-    past: VecDeque<(Time, f64, f64)>,
+    /// Past utilisation and queue lengths, which delayed reports show.
+    history: VecDeque<(Time, f64, f64)>,
     rng: Pcg64Mcg,
 }
 
 impl Processor {
-    /// A processor that has been warm for long.
+    /// A warm processor with an empty queue.
     pub fn new(config: ProcessorConfig, seed: u64) -> Processor {
         Processor {
             config,
-            born: None,
+            started: None,
             speed: 1.0,
             free_at: Time(0),
             recent: VecDeque::new(),
-            past: VecDeque::new(),
+            history: VecDeque::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Its process starts anew, and cold.
+    /// Restarts the process: the processor is cold and its queue empty.
     pub fn start(&mut self, now: Time) {
-        (self.born, self.free_at) = (Some(now), now);
+        (self.started, self.free_at) = (Some(now), now);
         self.recent.clear();
-        self.past.clear();
+        self.history.clear();
     }
 
-    /// From now on it works at this share of its usual speed.
+    /// Sets its speed as a share of its usual speed.
     pub fn set_speed(&mut self, speed: f64) {
         self.speed = speed.max(0.01);
     }
 
-    /// The share of its capacity that it has now.
+    /// The present capacity as a share of the warm capacity.
     pub fn capacity_share(&self, now: Time) -> f64 {
         let ProcessorConfig { cold_share, cold_ms, .. } = self.config;
-        let Some(born) = self.born else { return 1.0 };
-        let age = now.since(born).0 as f64 / (cold_ms.max(1) * 1000) as f64;
+        let Some(started) = self.started else { return 1.0 };
+        let age = now.since(started).0 as f64 / (cold_ms.max(1) * 1000) as f64;
         (cold_share + (1.0 - cold_share) * age).min(1.0)
     }
 
-    /// A call's whole work, in seconds of a warm processor.
-    fn whole(&self) -> f64 {
+    /// The work of a whole call, in seconds of a warm processor.
+    fn call_work(&self) -> f64 {
         1.0 / self.config.capacity.max(0.001)
     }
 
-    fn wait(&self, now: Time) -> Span {
+    fn queueing_delay(&self, now: Time) -> Span {
         self.free_at.since(now)
     }
 
     fn work(&mut self, share: f64, now: Time) -> Time {
-        let took = self.whole() * share / (self.capacity_share(now) * self.speed);
+        let duration = self.call_work() * share / (self.capacity_share(now) * self.speed);
         let start = self.free_at.max(now);
-        self.free_at = start.plus(Span::from_secs(took));
+        self.free_at = start.plus(Span::from_secs(duration));
         self.free_at
     }
 
-    /// A set-up arrives.
+    /// Processes the arrival of a set-up.
     pub fn offer(&mut self, now: Time) -> Admission {
         let ProcessorConfig { overload_factor, tip_ms, longest_wait_ms, .. } = self.config;
-        let (window, whole) = (Span::from_millis(tip_ms), self.whole());
+        let (window, call_work) = (Span::from_millis(tip_ms), self.call_work());
         while self.recent.front().is_some_and(|(at, _)| now.since(*at) > window) {
             self.recent.pop_front();
         }
-        self.recent.push_back((now, whole));
+        self.recent.push_back((now, call_work));
         let share = self.capacity_share(now);
         let offered: f64 = self.recent.iter().map(|(_, work)| work).sum();
-        let bears = overload_factor * share * (tip_ms as f64 / 1000.0) + TIP_SLACK * whole;
-        if share < 1.0 && offered > bears {
+        let limit = overload_factor * share * (tip_ms as f64 / 1000.0) + CRASH_SLACK_CALLS * call_work;
+        if share < 1.0 && offered > limit {
             return Admission::Crashed;
         }
-        let wait = self.wait(now);
-        self.remember(now, wait);
-        if wait > Span::from_millis(longest_wait_ms) {
+        let queueing_delay = self.queueing_delay(now);
+        self.store_state(now, queueing_delay);
+        if queueing_delay > Span::from_millis(longest_wait_ms) {
             return Admission::Rejected(
-                self.work(TURNING_AWAY, now).min(now.plus(Span::from_millis(5))),
-                wait,
+                self.work(REJECTION_WORK, now).min(now.plus(Span::from_millis(5))),
+                queueing_delay,
             );
         }
-        Admission::Accepted(self.work(SHARES.0 + SHARES.1, now))
+        Admission::Accepted(self.work(WORK_SHARES.0 + WORK_SHARES.1, now))
     }
 
-    /// What a cold processor was offered within its window, as a share of what makes it fall over, no slack counted.
+    /// The work offered within the window as a share of what crashes a cold processor, without the slack.
     pub fn overload_share(&self, now: Time) -> f64 {
         let ProcessorConfig { overload_factor, tip_ms, .. } = self.config;
         let offered: f64 = self.recent.iter().map(|(_, work)| work).sum();
@@ -165,37 +166,40 @@
             / (overload_factor * self.capacity_share(now) * (tip_ms as f64 / 1000.0)).max(f64::MIN_POSITIVE)
     }
 
-    /// A call that stood ends: when its release is said. Releases go ahead of set-ups that wait.
+    /// Processes the end of an established call and returns when its release is sent. Releases overtake queued set-ups.
     pub fn release(&mut self, now: Time) -> Time {
-        self.work(SHARES.2, now);
-        now.plus(Span::from_secs(self.whole() * SHARES.2))
+        self.work(WORK_SHARES.2, now);
+        now.plus(Span::from_secs(self.call_work() * WORK_SHARES.2))
     }
 
-    fn remember(&mut self, now: Time, wait: Span) {
-        let busy = (wait.0 as f64 / 1e6).min(1.0);
-        self.past.push_back((now, busy, wait.0 as f64 / 1e6 / self.whole()));
-        let kept = Span::from_millis(self.config.report_late_ms + 1_000);
-        while self.past.len() > 1 && self.past.front().is_some_and(|(at, ..)| now.since(*at) > kept) {
-            self.past.pop_front();
+    fn store_state(&mut self, now: Time, queueing_delay: Span) {
+        let utilisation = (queueing_delay.0 as f64 / 1e6).min(1.0);
+        self.history.push_back((now, utilisation, queueing_delay.0 as f64 / 1e6 / self.call_work()));
+        let retention = Span::from_millis(self.config.report_late_ms + 1_000);
+        while self.history.len() > 1
+            && self.history.front().is_some_and(|(at, ..)| now.since(*at) > retention)
+        {
+            self.history.pop_front();
         }
     }
 
-    /// How busy it says it is (0 to 1) and how many it says wait: late and noisy.
+    /// The reported utilisation (0 to 1) and queue length: delayed and with an error.
     pub fn report(&mut self, now: Time) -> (f64, f64) {
-        let late = Span::from_millis(self.config.report_late_ms);
-        let then = self.past.iter().rev().find(|(at, ..)| now.since(*at) >= late);
-        let (at, busy, waiting) = then.copied().unwrap_or((now, 0.0, 0.0));
-        // What waited then has been worked on since: a queue that gets nothing is empty some time.
-        let since = now.since(late_by(at, late)).secs();
-        let (busy, waiting) = ((busy - since).max(0.0), (waiting - since / self.whole()).max(0.0));
+        let delay = Span::from_millis(self.config.report_late_ms);
+        let then = self.history.iter().rev().find(|(at, ..)| now.since(*at) >= delay);
+        let (at, utilisation, queued) = then.copied().unwrap_or((now, 0.0, 0.0));
+        // Without new arrivals the queue of that time has been worked on since and becomes empty.
+        let since = now.since(reported_at(at, delay)).secs();
+        let (utilisation, queued) =
+            ((utilisation - since).max(0.0), (queued - since / self.call_work()).max(0.0));
         let noise = 1.0 + self.config.report_noise * (2.0 * random_fraction(&mut self.rng) - 1.0);
-        ((busy * noise).clamp(0.0, 1.0), (waiting * noise).max(0.0).round())
+        ((utilisation * noise).clamp(0.0, 1.0), (queued * noise).max(0.0).round())
     }
 }
 
-/// When a report that shows the state of `at` is as late as it usually is.
-fn late_by(at: Time, late: Span) -> Time {
-    at.plus(late)
+/// The time at which a report normally shows the state of `at`.
+fn reported_at(at: Time, delay: Span) -> Time {
+    at.plus(delay)
 }
 
 #[cfg(test)]
@@ -207,26 +211,26 @@
     }
 
     #[test]
-    fn it_takes_its_capacity_and_turns_the_rest_away() {
+    fn set_ups_beyond_the_capacity_are_rejected() {
         let mut processor = Processor::new(ProcessorConfig::default(), 1);
-        // 20 s at twice its capacity, each call released after a second.
-        let (mut taken, mut releases) = (0, VecDeque::new());
+        // 20 s at twice the capacity; each call is released after a second.
+        let (mut accepted, mut releases) = (0, VecDeque::new());
         for ms in (0..20_000).step_by(10) {
             while releases.front().is_some_and(|due: &Time| *due <= at(ms)) {
                 releases.pop_front();
                 processor.release(at(ms));
             }
             if let Admission::Accepted(done) = processor.offer(at(ms)) {
-                taken += 1;
+                accepted += 1;
                 releases.push_back(done.plus(Span::from_millis(1_000)));
             }
         }
-        // 50 a second, less the work of turning a thousand away, and what waits at the end.
-        assert!((850..1_080).contains(&taken), "{taken}");
+        // 50 per second, less the work of a thousand rejections and the set-ups that are still queued at the end.
+        assert!((850..1_080).contains(&accepted), "{accepted}");
     }
 
     #[test]
-    fn a_report_of_a_full_queue_empties_when_nothing_comes_any_more() {
+    fn a_reported_queue_drains_without_new_arrivals() {
         let mut processor = Processor::new(ProcessorConfig { report_noise: 0.0, ..Default::default() }, 1);
         for _ in 0..100 {
             processor.offer(at(0));
@@ -236,7 +240,7 @@
     }
 
     #[test]
-    fn a_cold_one_is_slower_and_falls_over_at_a_burst_that_a_warm_one_bears() {
+    fn a_cold_processor_is_slower_and_crashes_at_a_burst_that_a_warm_one_handles() {
         let burst = |processor: &mut Processor, from: u64| {
             (0..100).any(|n| processor.offer(at(from + n * 5)) == Admission::Crashed)
         };
--- a/crates/lockpoint-lab/src/server_model.rs
+++ b/crates/lockpoint-lab/src/server_model.rs
@@ -1,5 +1,4 @@
-//! A call server as a model: a processor, the calls that it has, and what can be wrong with it. Both protocols' stand-ins
-//! put the same one on a wire.
+//! The model of a call server: its processor, its calls and its faults. The simulated call servers of both protocols use it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -15,153 +14,154 @@
 use crate::processor::{Admission, Processor, ProcessorConfig};
 use crate::world::{now, sleep_until};
 
-/// Lines that a call server says it has.
-const LINES: usize = 10_000;
+/// The number of circuits that a call server reports.
+const CIRCUITS: usize = 10_000;
 
-/// What a call server says of a call, in time.
+/// An event that the model emits for a call, at the time at which the call server would send it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ModelEvent {
-    /// It stands.
+    /// The set-up is answered: the call is established.
     Answer,
-    /// The processor is full, for a wait so long; with a report.
+    /// The set-up is refused because the queue is too long: the queueing delay and a load report.
     Full(Span, String),
-    /// Something is wrong with it.
+    /// The set-up fails with an error.
     Error,
-    /// It is over; with a report.
+    /// The call server ends the established call; with a load report.
     Release(String),
-    /// The machine is down: everything on it is cut.
+    /// The call server has crashed: all its connections are cut.
     Down,
 }
 
-/// A call server behind its wire.
+/// A call server without its protocol.
 #[derive(Debug)]
 pub struct ServerModel {
     processor: RefCell<Processor>,
+    /// The distribution of the calls' durations and its random generator.
     hold: RefCell<(Exp<f64>, Pcg64Mcg)>,
-    /// Set-ups that are neither answered nor given up.
+    /// Set-ups that are neither answered nor cancelled.
     open: RefCell<BTreeSet<String>>,
     standing: RefCell<BTreeSet<String>>,
-    /// Hears and says nothing.
+    /// It receives messages but sends nothing.
     silent: Cell<bool>,
-    /// Answers with an error what it would take.
-    errs: Cell<bool>,
+    /// It answers with an error each set-up that it would accept.
+    failing: Cell<bool>,
     changed: Notify,
 }
 
 impl ServerModel {
-    /// A machine that has been up for long; calls stand for `hold_ms` in the mean, exponentially.
+    /// A warm call server; the calls' durations are exponentially distributed with the mean `hold_ms`.
     pub fn new(config: ProcessorConfig, hold_ms: u64, seed: u64) -> Rc<ServerModel> {
         let rate = 1.0 / (hold_ms.max(1) as f64 / 1000.0);
-        let exp = Exp::new(rate).unwrap_or_else(|_| unreachable!("a rate above 0"));
+        let exp = Exp::new(rate).unwrap_or_else(|_| unreachable!("the rate is above 0"));
         Rc::new(ServerModel {
             processor: RefCell::new(Processor::new(config, seed)),
             hold: RefCell::new((exp, Pcg64Mcg::seed_from_u64(seed ^ 0x686f_6c64))),
             open: RefCell::default(),
             standing: RefCell::default(),
             silent: Cell::new(false),
-            errs: Cell::new(false),
+            failing: Cell::new(false),
             changed: Notify::new(),
         })
     }
 
-    /// Whether it hears and says nothing.
+    /// Whether it receives messages but sends nothing.
     pub fn silent(&self) -> bool {
         self.silent.get()
     }
 
-    /// From now on it is silent, or speaks again.
+    /// Makes it silent, or ends its silence.
     pub fn set_silent(&self, silent: bool) {
         self.silent.set(silent);
         self.changed.notify_waiters();
     }
 
-    /// From now on it answers with errors, or no longer.
-    pub fn set_failing(&self, errs: bool) {
-        self.errs.set(errs);
+    /// Makes it answer set-ups with errors, or normally again.
+    pub fn set_failing(&self, failing: bool) {
+        self.failing.set(failing);
     }
 
-    /// From now on it works at this share of its usual speed.
+    /// Sets its speed as a share of its usual speed.
     pub fn set_speed(&self, speed: f64) {
         self.processor.borrow_mut().set_speed(speed);
     }
 
-    /// Its process is gone, and all its calls with it.
+    /// Drops all its calls, as the death of its process does.
     pub fn clear_calls(&self) {
         self.open.borrow_mut().clear();
         self.standing.borrow_mut().clear();
     }
 
-    /// Its process starts anew, and cold.
+    /// Restarts its process: it has no calls, is cold and not silent.
     pub fn restart(&self) {
         self.clear_calls();
         self.processor.borrow_mut().start(now());
         self.set_silent(false);
     }
 
-    /// Calls that stand here.
+    /// The number of its established calls.
     pub fn standing(&self) -> usize {
         self.standing.borrow().len()
     }
 
-    /// A set-up was given up, or a call that stood ended by the controller. `true`: it stood.
+    /// The controller cancels a set-up or ends an established call. Returns whether the call was established.
     pub fn end_call(&self, sid: &str) -> bool {
         self.open.borrow_mut().remove(sid);
         self.standing.borrow_mut().remove(sid)
     }
 
-    /// Its report, as SIP and IAX2 carry it.
+    /// Its load report, in the form that SIP and IAX2 carry.
     pub fn report(&self) -> String {
         let (util, queue) = self.processor.borrow_mut().report(now());
-        let free = LINES.saturating_sub(self.standing());
-        format!("x0:{free};x1:{LINES};util:{util:.2};queue:{queue:.0}")
+        let free = CIRCUITS.saturating_sub(self.standing());
+        format!("x0:{free};x1:{CIRCUITS};util:{util:.2};queue:{queue:.0}")
     }
 
-    /// Takes a set-up: what follows from it is said in time, unless the call ends before.
-    pub fn handle_set_up(self: &Rc<Self>, sid: &str, say: impl Fn(ModelEvent) + 'static) {
+    /// Processes a set-up. `emit` receives its events at their time, unless the controller ends the call before.
+    pub fn handle_set_up(self: &Rc<Self>, sid: &str, emit: impl Fn(ModelEvent) + 'static) {
         let offer = self.processor.borrow_mut().offer(now());
         if offer == Admission::Crashed {
-            return say(ModelEvent::Down);
+            return emit(ModelEvent::Down);
         }
         self.open.borrow_mut().insert(sid.to_owned());
-        let (machine, sid) = (self.clone(), sid.to_owned());
-        spawn_local(async move { machine.carry(&sid, offer, say).await });
+        let (server, sid) = (self.clone(), sid.to_owned());
+        spawn_local(async move { server.process_call(&sid, offer, emit).await });
     }
 
-    async fn carry(&self, sid: &str, offer: Admission, say: impl Fn(ModelEvent)) {
+    async fn process_call(&self, sid: &str, offer: Admission, emit: impl Fn(ModelEvent)) {
         let (at, wait) = match offer {
             Admission::Accepted(at) => (at, None),
             Admission::Rejected(at, wait) => (at, Some(wait)),
             Admission::Crashed => return,
         };
-        self.speaks_at(at).await;
+        self.wait_to_send(at).await;
         if !self.open.borrow_mut().remove(sid) {
             return;
         }
         if let Some(wait) = wait {
-            return say(ModelEvent::Full(wait, self.report()));
+            return emit(ModelEvent::Full(wait, self.report()));
         }
-        if self.errs.get() {
-            return say(ModelEvent::Error);
+        if self.failing.get() {
+            return emit(ModelEvent::Error);
         }
         self.standing.borrow_mut().insert(sid.to_owned());
-        say(ModelEvent::Answer);
+        emit(ModelEvent::Answer);
         let hold = {
             let (exp, rng) = &mut *self.hold.borrow_mut();
             exp.sample(rng)
         };
-        self.speaks_at(now().plus(Span::from_secs(hold))).await;
+        self.wait_to_send(now().plus(Span::from_secs(hold))).await;
         if !self.standing.borrow().contains(sid) {
             return;
         }
-        let said = self.processor.borrow_mut().release(now());
-        self.speaks_at(said).await;
+        let release_at = self.processor.borrow_mut().release(now());
+        self.wait_to_send(release_at).await;
         if self.standing.borrow_mut().remove(sid) {
-            say(ModelEvent::Release(self.report()));
+            emit(ModelEvent::Release(self.report()));
         }
     }
 
-    /// Waits until then, and on for as long as it is silent.
-    async fn speaks_at(&self, at: Time) {
+    /// Waits until a time, and then until it is not silent.
+    async fn wait_to_send(&self, at: Time) {
         sleep_until(at).await;
         loop {
             let changed = self.changed.notified();
--- a/crates/lockpoint-lab/src/world.rs
+++ b/crates/lockpoint-lab/src/world.rs
@@ -1,4 +1,5 @@
-//! What all stand-ins saw, in order. Tests wait for what is written here; the checker counts it.
+//! The log of what the simulated callers, call servers and directories observe, in order. Tests wait for its events;
+//! the checker in `audit` evaluates them.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -8,12 +9,12 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::LocalSet;
 
-/// A wait of `World` that ends a test: whatever it waits for will not come any more.
-const NEVER_AFTER: Duration = Duration::from_secs(30);
+/// After this time a wait for an event fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a caller asks for.
+/// A call that a caller requests. The trace file contains this type's `Debug` output.
 #[derive(Debug, Clone, PartialEq, Eq)]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the fields are named after their content
 pub struct Ask {
     pub class: String,
     pub number: String,
@@ -22,166 +23,173 @@
     pub left_ms: u64,
 }
 
-/// What the list says of a call server.
+/// The state of a call server in its directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the variants are the directory's own terms
 pub enum ListedState {
     Ready,
     Draining,
     Gone,
 }
 
-/// What a stand-in saw.
+/// What happened at a simulated peer. The trace file contains the variants' names.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EventKind {
-    /// A set-up reached a call server: class, number, description.
+    /// A call server received a set-up: class, number, description.
     SetUp(String, String, String),
-    /// A set-up was given up there.
+    /// A call server received the cancellation of a set-up.
     Cancel,
-    /// A call that stood was ended there by the controller.
+    /// A call server received the controller's end of an established call, with its cause.
     Bye(u16),
-    /// A call server answered with this description.
+    /// A call server answered a set-up with this description.
     Answered(String),
-    /// A call server refused.
+    /// A call server refused a set-up.
     Refused,
-    /// A call server ended a call that stood.
+    /// A call server ended an established call.
     Released,
-    /// A call server's process died; all its calls with it.
+    /// A call server's process died and all its calls were lost.
     Died,
-    /// A cold call server was sent more than it bears.
+    /// A cold call server crashed because it was sent more set-ups than it can process.
     Tipped,
     /// A caller sent its set-up.
     Asked(Rc<Ask>),
-    /// A caller stopped waiting, and said so.
+    /// A caller cancelled its set-up.
     GaveUp,
-    /// A caller ended its call that stood.
+    /// A caller ended its established call.
     HungUp,
-    /// A caller got an answer: its description.
+    /// A caller received an answer: its description.
     Ready(String),
-    /// A caller got a refusal, a failure or a release: cause, and the wait in milliseconds.
+    /// A caller received a refusal, a failure or a release: cause, and the wait before a retry in milliseconds.
     Close(u16, Option<u64>),
-    /// A caller got word that its release was heard.
+    /// A caller received the confirmation of its release.
     Closed,
-    /// A caller got something else.
+    /// A caller received another message.
     Other(String),
-    /// A list was put on the bulletin.
+    /// The bulletin published this event.
     Told(String),
-    /// The list has news of a call server, `who`; a directory that is asked now and then may tell this much later.
+    /// A directory changed the state of the call server `source`. The controller may learn it later by up to this
+    /// duration, because a polled directory is queried only from time to time.
     News(ListedState, Duration),
 }
 
-/// One thing seen.
+/// An event with its time and origin.
 #[derive(Debug, Clone)]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the fields are named after their content
 pub struct RecordedEvent {
     pub at: Instant,
-    /// Which stand-in saw it.
+    /// The simulated peer that observed it.
     pub source: String,
-    /// The call, as 16 hex digits; empty where it is about none.
+    /// The call, as 16 hex digits; empty for events that concern no call.
     pub sid: String,
     pub kind: EventKind,
 }
 
 #[derive(Default)]
 struct Inner {
-    seen: RefCell<Vec<RecordedEvent>>,
+    recorded: RefCell<Vec<RecordedEvent>>,
     changed: Notify,
-    taps: RefCell<Vec<mpsc::UnboundedSender<RecordedEvent>>>,
-    forgets: Cell<bool>,
+    subscribers: RefCell<Vec<mpsc::UnboundedSender<RecordedEvent>>>,
+    discards: Cell<bool>,
 }
 
-/// What all stand-ins saw, in order.
+/// The shared log of all simulated peers; clones refer to the same log.
 #[derive(Clone, Default)]
 pub struct EventLog(Rc<Inner>);
 
 impl EventLog {
-    /// One that keeps nothing: what is seen goes to the taps alone, so that a long experiment does not swell.
+    /// A log that only forwards events to its subscribers and stores none, so that memory stays bounded in a long
+    /// experiment.
     pub fn without_history() -> EventLog {
-        let world = EventLog::default();
-        world.0.forgets.set(true);
-        world
+        let log = EventLog::default();
+        log.0.discards.set(true);
+        log
     }
 
-    /// Writes down what was seen.
+    /// Records an event with the present time.
     pub fn record(&self, source: &str, sid: &str, kind: EventKind) {
-        let seen = RecordedEvent { at: Instant::now(), source: source.to_owned(), sid: sid.to_owned(), kind };
-        self.0.taps.borrow().iter().for_each(|tap| drop(tap.send(seen.clone())));
-        if !self.0.forgets.get() {
-            self.0.seen.borrow_mut().push(seen);
+        let recorded =
+            RecordedEvent { at: Instant::now(), source: source.to_owned(), sid: sid.to_owned(), kind };
+        self.0.subscribers.borrow().iter().for_each(|sender| drop(sender.send(recorded.clone())));
+        if !self.0.discards.get() {
+            self.0.recorded.borrow_mut().push(recorded);
         }
         self.0.changed.notify_waiters();
     }
 
-    /// All that is seen from now on.
+    /// A channel that receives all later events.
     pub fn subscribe(&self) -> mpsc::UnboundedReceiver<RecordedEvent> {
-        let (tap, seen) = mpsc::unbounded_channel();
-        self.0.taps.borrow_mut().push(tap);
-        seen
+        let (sender, recorded) = mpsc::unbounded_channel();
+        self.0.subscribers.borrow_mut().push(sender);
+        recorded
     }
 
-    /// All that was seen so far.
+    /// All stored events.
     pub fn events(&self) -> Vec<RecordedEvent> {
-        self.0.seen.borrow().clone()
+        self.0.recorded.borrow().clone()
     }
 
-    /// How many were seen.
-    pub fn count(&self, which: impl Fn(&RecordedEvent) -> bool) -> usize {
-        self.0.seen.borrow().iter().filter(|seen| which(seen)).count()
+    /// The number of stored events that match.
+    pub fn count(&self, matches_event: impl Fn(&RecordedEvent) -> bool) -> usize {
+        self.0.recorded.borrow().iter().filter(|recorded| matches_event(recorded)).count()
     }
 
-    /// Waits until something was seen.
-    pub async fn wait_for(&self, name: &str, which: impl Fn(&RecordedEvent) -> bool) -> RecordedEvent {
-        self.wait_for_count(name, 1, which).await.remove(0)
+    /// Waits for the first event that matches; panics on a time-out.
+    pub async fn wait_for(
+        &self,
+        name: &str,
+        matches_event: impl Fn(&RecordedEvent) -> bool,
+    ) -> RecordedEvent {
+        self.wait_for_count(name, 1, matches_event).await.remove(0)
     }
 
-    /// Waits until so many were seen; panics, with what was seen last, where they never are.
+    /// Waits until `n` events match; panics on a time-out and prints the last events.
     pub async fn wait_for_count(
         &self,
         name: &str,
-        n: usize,
-        which: impl Fn(&RecordedEvent) -> bool,
+        minimum: usize,
+        matches_event: impl Fn(&RecordedEvent) -> bool,
     ) -> Vec<RecordedEvent> {
         let wait = async {
             loop {
                 let changed = self.0.changed.notified();
                 let found: Vec<RecordedEvent> =
-                    self.0.seen.borrow().iter().filter(|s| which(s)).cloned().collect();
-                if found.len() >= n {
+                    self.0.recorded.borrow().iter().filter(|s| matches_event(s)).cloned().collect();
+                if found.len() >= minimum {
                     return found;
                 }
                 changed.await;
             }
         };
-        match tokio::time::timeout(NEVER_AFTER, wait).await {
+        match tokio::time::timeout(WAIT_TIMEOUT, wait).await {
             Ok(found) => found,
             Err(_) => panic!(
-                "never seen: {name}; seen: {:#?}",
+                "timed out waiting for {name}; last events, newest first: {:#?}",
                 self.events().iter().rev().take(30).collect::<Vec<_>>()
             ),
         }
     }
 
-    /// The one final answer of a call.
+    /// Waits for the final answer of a call: its answer or its refusal.
     pub async fn final_answer(&self, sid: &str) -> RecordedEvent {
-        let final_one =
+        let is_final =
             |s: &RecordedEvent| s.sid == sid && matches!(s.kind, EventKind::Ready(_) | EventKind::Close(..));
-        self.wait_for(&format!("an answer to {sid}"), final_one).await
+        self.wait_for(&format!("an answer to {sid}"), is_final).await
     }
 }
 
-/// The stand-ins' clock: microseconds, of no use but to be compared.
+/// The laboratory's clock: microseconds from an arbitrary start.
 pub fn now() -> Time {
     time_of(Instant::now())
 }
 
-/// The same for a moment in the past.
+/// The same clock's time of an `Instant`.
 pub fn time_of(at: Instant) -> Time {
     thread_local!(static START: Instant = Instant::now());
     let passed = START.with(|start| at.saturating_duration_since(*start)).as_micros();
     Time(1_000_000 + u64::try_from(passed).unwrap_or(u64::MAX))
 }
 
-/// Sleeps until a time of that clock.
+/// Sleeps until a time of the laboratory's clock.
 pub async fn sleep_until(at: Time) {
     let left = at.since(now());
     if left.0 > 0 {
@@ -189,8 +197,9 @@
     }
 }
 
-/// Runs a world on one thread.
-pub fn on_one_thread<T>(world: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    LocalSet::new().block_on(&runtime, world)
+/// Runs a future, and the local tasks that it spawns, on a single-threaded runtime.
+pub fn on_one_thread<T>(future: impl std::future::Future<Output = T>) -> T {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
+    LocalSet::new().block_on(&runtime, future)
 }
