--- a/crates/lockpoint-lab/src/audit.rs
+++ b/crates/lockpoint-lab/src/audit.rs
@@ -7,7 +7,7 @@
 use lockpoint::interface::{Span, Time};
 use serde::Serialize;
 
-use crate::world::{Ask, EventKind, ListedState};
+use crate::event_log::{Ask, EventKind, ListedState};
 
 /// Every time limit grows by this: stand-ins and the controller are scheduled by the same machine.
 const SLACK: Span = Span::from_millis(50);
--- a/crates/lockpoint-lab/src/bench.rs
+++ b/crates/lockpoint-lab/src/bench.rs
@@ -14,6 +14,7 @@
 use tokio::sync::mpsc;
 
 use crate::callers::{default_ask, Caller};
+use crate::event_log::{now, sleep_until, time_of, EventKind, EventLog, RecordedEvent};
 use crate::experiment::Experiment;
 use crate::results::{latency_histogram, quantile_ms};
 use crate::run::{agent_file, any_port, TestBed};
@@ -21,7 +22,6 @@
 use crate::under_test::{
     address, resource_usage, sibling_program, spawn, Agent, LabError, ResourceUsage, TempDir,
 };
-use crate::world::{now, sleep_until, time_of, EventKind, EventLog, RecordedEvent};
 
 /// Callers in a closed loop: so many calls are asked for at any moment.
 const AT_ONCE: usize = 32;
--- a/crates/lockpoint-lab/src/bulletin.rs
+++ b/crates/lockpoint-lab/src/bulletin.rs
@@ -1,4 +1,4 @@
-//! The bulletin on a socket: which call servers there are, told by HTTP long polls, whole or spoilt.
+//! A simulated bulletin on a socket: it publishes the list of call servers over HTTP long polls, and can spoil a response.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,87 +11,87 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
+use crate::event_log::{EventKind, EventLog};
 use crate::sip::write_in_pieces;
-use crate::world::{EventKind, EventLog};
 
-/// How the bulletin spoils its next answer that tells something.
+/// A fault of the next response that contains events.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ResponseFault {
-    /// It ends half way.
+    /// The response is truncated and the connection closed.
     Truncate,
-    /// It stops half way and stays open.
+    /// The response stops before its end and the connection stays open.
     Stall,
-    /// The same, with a byte now and then.
+    /// As `Stall`, with one byte every 100 ms.
     Trickle,
 }
 
-/// The bulletin: a list of call servers by HTTP long polls.
+/// A simulated bulletin.
 pub struct Bulletin {
-    /// Where it listens.
+    /// The address at which it listens.
     pub at: SocketAddr,
-    world: EventLog,
+    event_log: EventLog,
     events: RefCell<Vec<Value>>,
-    more: Notify,
-    /// How it spoils its next answer that tells something.
+    published: Notify,
+    /// The fault of the next response that contains events.
     pub response_fault: Cell<Option<ResponseFault>>,
-    /// It writes in pieces of so many bytes; 0: whole.
+    /// The size of the pieces in which it writes, in bytes; 0: in one piece.
     pub pieces: Cell<usize>,
 }
 
-/// A line of the list.
+/// An entry of the list.
 pub fn list_entry(name: &str, at: SocketAddr, cell: u16, health: &str) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": "east", "class": "std", "block": cell, "health": health,
         "share": 1, "born_ms": 0, "new_field": [1]})
 }
 
-/// The line of a call server that has just started: it is cold.
-pub fn list_entry_started_at(name: &str, at: SocketAddr, cell: u16, born_ms: u64) -> Value {
+/// The entry of a call server that started at `started_ms`, a Unix time in milliseconds.
+pub fn list_entry_started_at(name: &str, at: SocketAddr, cell: u16, started_ms: u64) -> Value {
     let mut line = list_entry(name, at, cell, "ready");
-    line["born_ms"] = json!(born_ms);
+    line["born_ms"] = json!(started_ms);
     line
 }
 
 impl Bulletin {
-    /// Starts one on a port that the system picks.
-    pub async fn start(world: &EventLog) -> Rc<Bulletin> {
-        Bulletin::start_at(world, SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a port")
+    /// Starts a bulletin on a free port.
+    pub async fn start(event_log: &EventLog) -> Rc<Bulletin> {
+        Bulletin::start_at(event_log, SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a free port")
     }
 
-    /// Starts one at an address.
-    pub async fn start_at(world: &EventLog, at: SocketAddr) -> std::io::Result<Rc<Bulletin>> {
+    /// Starts a bulletin at an address.
+    pub async fn start_at(event_log: &EventLog, at: SocketAddr) -> std::io::Result<Rc<Bulletin>> {
         let listener = TcpListener::bind(at).await?;
         let at = listener.local_addr()?;
         let bulletin = Rc::new(Bulletin {
             at,
-            world: world.clone(),
+            event_log: event_log.clone(),
             events: RefCell::default(),
-            more: Notify::new(),
+            published: Notify::new(),
             response_fault: Cell::new(None),
             pieces: Cell::new(0),
         });
-        let serving = bulletin.clone();
+        let service = bulletin.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(serving.clone().serve(stream));
+                spawn_local(service.clone().serve(stream));
             }
         });
         Ok(bulletin)
     }
 
-    /// Puts a list, or changes of it, on the bulletin.
-    pub fn publish(&self, whole: bool, hosts: Vec<Value>) {
+    /// Publishes a full list (`whole`) or changes of it.
+    pub fn publish(&self, whole: bool, entries: Vec<Value>) {
         let no = self.events.borrow().len() + 1;
-        let event = json!({"no": no, "roster": {"seq": no, "whole": whole, "hosts": hosts}});
-        self.world.record("bulletin", "", EventKind::Told(event.to_string()));
+        let event = json!({"no": no, "roster": {"seq": no, "whole": whole, "hosts": entries}});
+        self.event_log.record("bulletin", "", EventKind::Told(event.to_string()));
         self.events.borrow_mut().push(event);
-        self.more.notify_waiters();
+        self.published.notify_waiters();
     }
 
-    /// Puts an event on the bulletin that may be none.
+    /// Publishes an event that may be malformed.
     pub fn publish_raw(&self, event: Value) {
-        self.world.record("bulletin", "", EventKind::Told(event.to_string()));
+        self.event_log.record("bulletin", "", EventKind::Told(event.to_string()));
         self.events.borrow_mut().push(event);
-        self.more.notify_waiters();
+        self.published.notify_waiters();
     }
 
     async fn serve(self: Rc<Self>, stream: TcpStream) {
@@ -100,32 +100,32 @@
         let mut lines = BufReader::new(reader).lines();
         while let Ok(Some(line)) = lines.next_line().await {
             let Some(query) = line.strip_prefix("GET /bulletins?") else { continue };
-            let figure = |name: &str| {
+            let parameter = |name: &str| {
                 let pair = query.split([' ', '&']).find_map(|pair| pair.strip_prefix(name));
                 pair.and_then(|value| value.parse::<usize>().ok())
             };
-            let (Some(after), Some(patience)) = (figure("after="), figure("patience=")) else { return };
-            let more = async {
+            let (Some(after), Some(wait_ms)) = (parameter("after="), parameter("patience=")) else { return };
+            let published = async {
                 loop {
-                    let more = self.more.notified();
+                    let published = self.published.notified();
                     if self.events.borrow().len() > after {
                         return;
                     }
-                    more.await;
+                    published.await;
                 }
             };
-            let _ = tokio::time::timeout(Duration::from_millis(patience as u64), more).await;
+            let _ = tokio::time::timeout(Duration::from_millis(wait_ms as u64), published).await;
             let body = {
                 let events = self.events.borrow();
                 json!({"no": events.len(), "items": events.get(after..).unwrap_or_default()}).to_string()
             };
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            let tells = self.events.borrow().len() > after;
-            if let Some(how) = self.response_fault.get().filter(|_| tells) {
+            let has_events = self.events.borrow().len() > after;
+            if let Some(fault) = self.response_fault.get().filter(|_| has_events) {
                 self.response_fault.set(None);
-                let half = &answer.as_bytes()[..answer.len() - 20];
-                let _ = writer.write_all(half).await;
-                match how {
+                let incomplete = &answer.as_bytes()[..answer.len() - 20];
+                let _ = writer.write_all(incomplete).await;
+                match fault {
                     ResponseFault::Truncate => return,
                     ResponseFault::Stall => std::future::pending().await,
                     ResponseFault::Trickle => loop {
--- a/crates/lockpoint-lab/src/fleet/crash.rs
+++ b/crates/lockpoint-lab/src/fleet/crash.rs
@@ -20,12 +20,12 @@
 use super::processes::{settings, Processes};
 use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
+use crate::event_log::{EventKind, EventLog};
 use crate::path::random_fraction;
 use crate::processor::ProcessorConfig;
 use crate::server_model::ServerModel;
 use crate::sip::{ServerBehaviour, SipServer};
 use crate::under_test::{sibling_program, LabError};
-use crate::world::{EventKind, EventLog};
 
 /// How long calls stand in the mean.
 const HOLD_MS: u64 = 1_200;
--- a/crates/lockpoint-lab/src/fleet/real.rs
+++ b/crates/lockpoint-lab/src/fleet/real.rs
@@ -13,9 +13,9 @@
 use super::processes::{settings, Processes};
 use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
+use crate::event_log::{EventKind, EventLog};
 use crate::sip::{ServerBehaviour, SipServer};
 use crate::under_test::LabError;
-use crate::world::{EventKind, EventLog};
 
 /// A peer that has not received the observation by then is counted as never.
 const LIMIT: Duration = Duration::from_secs(5);
--- a/crates/lockpoint-lab/src/iax2.rs
+++ b/crates/lockpoint-lab/src/iax2.rs
@@ -20,10 +20,10 @@
 use tokio::task::spawn_local;
 
 use crate::callers::default_ask;
+use crate::event_log::{now, sleep_until, Ask, EventKind, EventLog};
 use crate::path::{Path, PathConfig};
 use crate::server_model::ModelEvent;
 use crate::sip::{model_answer, ServerBehaviour};
-use crate::world::{now, sleep_until, Ask, EventKind, EventLog};
 
 /// What a leg is for that registers.
 const REGISTRATION: &str = "registration";
--- a/crates/lockpoint-lab/src/load.rs
+++ b/crates/lockpoint-lab/src/load.rs
@@ -1,4 +1,5 @@
-//! What callers want: arrivals in open loop, bursts, redials and impatience, by a seed. No socket and no clock here.
+//! The load model: open-loop arrivals, redials and impatient callers, driven by a seed. It uses no socket and reads no
+//! clock.
 
 use lockpoint::interface::{Span, Time};
 use rand_core::{RngCore, SeedableRng};
@@ -8,25 +9,25 @@
 
 use crate::path::random_fraction;
 
-/// What callers are like.
+/// The behaviour of the callers.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallersConfig {
-    /// Share of the calls that IAX2 callers ask for; JSON-lines callers ask for the rest.
+    /// The share of calls requested by IAX2 callers; JSON-lines callers request the rest.
     pub iax2: f64,
-    /// How long a caller waits, in milliseconds.
+    /// How long a caller waits for an answer, in milliseconds.
     pub patience_ms: u64,
-    /// Share that gives up at a random moment before.
+    /// The share of callers that cancel at a random moment before that.
     pub impatient: f64,
-    /// Share of the calls that stand which the caller ends, after half the usual hold.
+    /// The share of established calls that the caller ends, after half the mean duration.
     pub hang_up: f64,
-    /// How often a refused caller asks again, each time with this chance ...
+    /// The probability that a refused caller redials.
     pub redial: f64,
-    /// ... and at most so often.
+    /// The maximum number of redials of one caller.
     pub redials: u32,
-    /// Bytes of a description.
+    /// The length of a description, in bytes.
     pub text_bytes: usize,
-    /// Connections (JSON lines) and sockets (IAX2) that callers share.
+    /// The number of connections (JSON lines) and sockets (IAX2) that the callers share.
     pub connections: usize,
 }
 
@@ -45,54 +46,54 @@
     }
 }
 
-/// A caller who wants a call.
+/// A caller's planned call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerPlan {
-    /// When he asks.
+    /// When the caller requests the call.
     pub at: Time,
-    /// His number among all calls: names and chances follow from it.
+    /// The number of the call; its name and number called follow from it.
     pub number: u64,
-    /// Over IAX2.
+    /// Whether the caller uses IAX2.
     pub iax2: bool,
-    /// The cell of his first choice.
+    /// The cell of the caller's first choice.
     pub dest: u16,
-    /// He gives up after this, if the answer is not there.
+    /// The caller cancels after this time if there is no answer.
     pub gives_up_after: Option<Span>,
-    /// He ends the call himself.
+    /// Whether the caller ends the established call.
     pub hangs_up: bool,
-    /// How often he has asked before.
+    /// The number of earlier requests of this caller.
     pub redialled: u32,
 }
 
-/// Arrivals and what becomes of refused callers.
+/// A generator of arrivals and redials.
 #[derive(Debug, Clone)]
 pub struct Load {
     config: CallersConfig,
     cells: u16,
     rng: Pcg64Mcg,
-    next_no: u64,
+    last_number: u64,
 }
 
 impl Load {
-    /// Callers of so many cells; the same seed gives the same callers.
+    /// A load on `cells` cells; the same seed gives the same callers.
     pub fn new(config: CallersConfig, cells: u16, seed: u64) -> Load {
-        Load { config, cells: cells.max(1), rng: Pcg64Mcg::seed_from_u64(seed), next_no: 0 }
+        Load { config, cells: cells.max(1), rng: Pcg64Mcg::seed_from_u64(seed), last_number: 0 }
     }
 
-    /// The next arrival after `now` at a rate of so many a second (Poisson).
+    /// The next arrival after `now` in a Poisson process with `rate` arrivals per second.
     pub fn arrival(&mut self, now: Time, rate: f64) -> CallerPlan {
         let gap: f64 = Exp1.sample(&mut self.rng);
-        self.wanted(now.plus(Span::from_secs(gap / rate.max(1e-6))), 0)
+        self.plan(now.plus(Span::from_secs(gap / rate.max(1e-6))), 0)
     }
 
-    fn wanted(&mut self, at: Time, redialled: u32) -> CallerPlan {
+    fn plan(&mut self, at: Time, redialled: u32) -> CallerPlan {
         let [iax2, impatient, when, hangs_up] = [(); 4].map(|()| random_fraction(&mut self.rng));
         let dest = (self.rng.next_u32() % u32::from(self.cells)) as u16;
         let patience = Span::from_millis(self.config.patience_ms);
-        self.next_no += 1;
+        self.last_number += 1;
         CallerPlan {
             at,
-            number: self.next_no,
+            number: self.last_number,
             iax2: iax2 < self.config.iax2,
             dest,
             gives_up_after: (impatient < self.config.impatient).then(|| patience.scale(when)),
@@ -101,17 +102,17 @@
         }
     }
 
-    /// A refused caller, told to stay away for `wait`: when he asks again, if he does. He is the same caller as before,
-    /// with the same patience and on the same wire, but his call is a new one.
-    pub fn redial(&mut self, now: Time, of: &CallerPlan, wait: Span) -> Option<CallerPlan> {
-        let (again, spread) = (random_fraction(&mut self.rng), random_fraction(&mut self.rng));
-        if of.redialled >= self.config.redials || again >= self.config.redial {
+    /// The redial of a refused caller who was told to wait for `wait`; `None` if the caller does not redial. The protocol
+    /// and the destination stay the same, but it is a new call.
+    pub fn redial(&mut self, now: Time, refused: &CallerPlan, wait: Span) -> Option<CallerPlan> {
+        let (draw, spread) = (random_fraction(&mut self.rng), random_fraction(&mut self.rng));
+        if refused.redialled >= self.config.redials || draw >= self.config.redial {
             return None;
         }
         let at = now.plus(wait).plus(Span::from_millis(500).scale(spread));
-        let mut wanted = self.wanted(at, of.redialled + 1);
-        (wanted.iax2, wanted.dest) = (of.iax2, of.dest);
-        Some(wanted)
+        let mut plan = self.plan(at, refused.redialled + 1);
+        (plan.iax2, plan.dest) = (refused.iax2, refused.dest);
+        Some(plan)
     }
 }
 
@@ -120,19 +121,19 @@
     use super::*;
 
     #[test]
-    fn arrivals_keep_their_rate_and_redials_their_bound() {
+    fn arrivals_have_the_given_rate_and_redials_are_limited() {
         let mut load = Load::new(CallersConfig { redial: 1.0, ..CallersConfig::default() }, 3, 5);
         let (mut now, mut iax2) = (Time(0), 0);
         for _ in 0..20_000 {
-            let wanted = load.arrival(now, 100.0);
-            (now, iax2) = (wanted.at, iax2 + u32::from(wanted.iax2));
+            let plan = load.arrival(now, 100.0);
+            (now, iax2) = (plan.at, iax2 + u32::from(plan.iax2));
         }
         assert!((now.0 as f64 / 1e6 - 200.0).abs() < 6.0, "{now:?}");
         assert!((9_700..10_300).contains(&iax2), "{iax2}");
         let first = load.arrival(now, 1.0);
-        let second = load.redial(first.at, &first, Span::from_millis(100)).expect("asks again");
+        let second = load.redial(first.at, &first, Span::from_millis(100)).expect("a first redial");
         assert!(second.at >= first.at.plus(Span::from_millis(100)) && second.number != first.number);
-        let third = load.redial(second.at, &second, Span::default()).expect("and again");
+        let third = load.redial(second.at, &second, Span::default()).expect("a second redial");
         assert_eq!(load.redial(third.at, &third, Span::default()), None);
     }
 }
--- a/crates/lockpoint-lab/src/main.rs
+++ b/crates/lockpoint-lab/src/main.rs
@@ -8,12 +8,12 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use lockpoint_lab::event_log::on_one_thread;
 use lockpoint_lab::experiment::Experiment;
 use lockpoint_lab::fleet::{cold_budget, crash, limits};
 use lockpoint_lab::results::Outcome;
 use lockpoint_lab::run::{run, OutputOptions};
 use lockpoint_lab::under_test::{sibling_program, LabError};
-use lockpoint_lab::world::on_one_thread;
 use lockpoint_lab::{bench, demo, relay, scale};
 
 /// Experiments and measurements around lockpoint, on loopback addresses only.
--- a/crates/lockpoint-lab/src/path.rs
+++ b/crates/lockpoint-lab/src/path.rs
@@ -1,25 +1,26 @@
-//! A datagram path that loses, repeats, reorders and delays by a seed. No socket here: it says what becomes of each.
+//! A model of a datagram path with loss, duplication, reordering and delay, driven by a seed. It uses no socket: it only
+//! decides what happens to each datagram.
 
 use lockpoint::interface::Span;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
 
-/// What a path does.
+/// The faults of a path.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PathConfig {
-    /// Share of the datagrams that never arrive.
+    /// The share of datagrams that are lost.
     pub loss: f64,
-    /// Share that arrives twice.
+    /// The share that is duplicated.
     pub repeat: f64,
-    /// Share that is held back by `held_ms`, so that later ones overtake it.
+    /// The share that is delayed by `held_ms`, so that later datagrams overtake it.
     pub reorder: f64,
-    /// How long those are held back, in milliseconds.
+    /// The additional delay of reordered datagrams, in milliseconds.
     pub held_ms: f64,
-    /// The shortest delay of all, in milliseconds.
+    /// The minimum delay, in milliseconds.
     pub delay_ms: f64,
-    /// Up to so many milliseconds more, each datagram by itself.
+    /// The largest random delay added to each datagram, in milliseconds.
     pub jitter_ms: f64,
 }
 
@@ -29,9 +30,9 @@
     }
 }
 
-/// A share of 1 by chance.
+/// A uniformly distributed random number from 0 up to, but not including, 1.
 pub fn random_fraction(rng: &mut Pcg64Mcg) -> f64 {
-    // 53 bits: as many as the mantissa holds.
+    // 53 bits: the precision of the mantissa.
     (rng.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
 }
 
@@ -43,24 +44,25 @@
 }
 
 impl Path {
-    /// A path; the same seed gives the same fates.
+    /// A path; the same seed gives the same delays.
     pub fn new(config: PathConfig, seed: u64) -> Path {
         Path { config, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// After how long each copy of the next datagram arrives; none: it is lost.
+    /// The delay of each copy of the next datagram; empty if it is lost.
     pub fn delivery_delays(&mut self) -> Vec<Span> {
         let PathConfig { loss, repeat, reorder, held_ms, delay_ms, jitter_ms } = self.config;
-        // Always as many draws, so that one figure changed leaves the other fates as they were.
-        let [lost, twice, late, jitter, more] = [(); 5].map(|()| random_fraction(&mut self.rng));
+        // The number of random draws is constant, so that a change of one setting leaves the others' effects as they were.
+        let [lost, duplicated, reordered, jitter, second_jitter] =
+            [(); 5].map(|()| random_fraction(&mut self.rng));
         if lost < loss {
             return Vec::new();
         }
-        let held = if late < reorder { held_ms } else { 0.0 };
+        let extra_delay = if reordered < reorder { held_ms } else { 0.0 };
         let ms = |ms: f64| Span((ms.max(0.0) * 1000.0) as u64);
-        let first = ms(delay_ms + jitter * jitter_ms + held);
-        if twice < repeat {
-            return vec![first, ms(delay_ms + more * jitter_ms + held)];
+        let first = ms(delay_ms + jitter * jitter_ms + extra_delay);
+        if duplicated < repeat {
+            return vec![first, ms(delay_ms + second_jitter * jitter_ms + extra_delay)];
         }
         vec![first]
     }
@@ -71,18 +73,20 @@
     use super::*;
 
     #[test]
-    fn fates_come_in_the_shares_asked_for_and_again_with_the_same_seed() {
+    fn faults_have_the_configured_shares_and_repeat_with_the_same_seed() {
         let config = PathConfig { loss: 0.05, repeat: 0.02, reorder: 0.02, ..PathConfig::default() };
-        let fates = |seed| {
+        let delays = |seed| {
             let mut path = Path::new(config, seed);
             (0..100_000).map(|_| path.delivery_delays()).collect::<Vec<_>>()
         };
-        let all = fates(7);
-        let share = |which: fn(&Vec<Span>) -> bool| all.iter().filter(|f| which(f)).count() as f64 / 1e5;
+        let all = delays(7);
+        let share = |matches_delays: fn(&Vec<Span>) -> bool| {
+            all.iter().filter(|f| matches_delays(f)).count() as f64 / 1e5
+        };
         assert!((share(Vec::is_empty) - 0.05).abs() < 0.005);
         assert!((share(|f| f.len() == 2) - 0.019).abs() < 0.003);
         assert!((share(|f| f.first() == Some(&Span::from_millis(15))) - 0.019).abs() < 0.003);
-        assert_eq!(all, fates(7));
-        assert_ne!(all, fates(8));
+        assert_eq!(all, delays(7));
+        assert_ne!(all, delays(8));
     }
 }
--- a/crates/lockpoint-lab/src/relay.rs
+++ b/crates/lockpoint-lab/src/relay.rs
@@ -1,5 +1,5 @@
-//! A bare relay: callers' lines on one socket, a call server's SIP on the other, no decisions and no book but which
-//! caller a call belongs to. What a controller costs beyond this is its own.
+//! A minimal relay between JSON-lines callers and one SIP call server. It makes no decisions and only records which caller
+//! a call belongs to, so that a comparison with it shows the controller's own cost.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 
 use crate::under_test::LabError;
 
-/// What it is told.
+/// The options of the relay.
 #[derive(Debug, Clone, Args)]
 pub struct Options {
     /// Where callers connect; one at a time.
@@ -31,7 +31,7 @@
 
 type Lines = mpsc::UnboundedSender<Vec<u8>>;
 
-/// Relays until it is killed.
+/// Relays until the process is killed.
 pub async fn run(options: &Options) -> Result<(), LabError> {
     let fail = |what: &'static str| move |why| LabError::Socket { what: what.to_owned(), why };
     let listener = TcpListener::bind(options.listen).await.map_err(fail("listen"))?;
@@ -40,8 +40,8 @@
     let (reader, writer) = server.into_split();
     let (to_server, queue) = mpsc::unbounded_channel();
     spawn_local(write(writer, queue));
-    let owners: Rc<RefCell<BTreeMap<String, Lines>>> = Rc::default();
-    spawn_local(from_server(reader, owners.clone()));
+    let callers_by_call: Rc<RefCell<BTreeMap<String, Lines>>> = Rc::default();
+    spawn_local(from_server(reader, callers_by_call.clone()));
     while let Ok((stream, _)) = listener.accept().await {
         if stream.set_nodelay(true).is_err() {
             continue;
@@ -49,7 +49,7 @@
         let (reader, writer) = stream.into_split();
         let (lines, queue) = mpsc::unbounded_channel();
         spawn_local(write(writer, queue));
-        spawn_local(from_caller(reader, lines, to_server.clone(), owners.clone()));
+        spawn_local(from_caller(reader, lines, to_server.clone(), callers_by_call.clone()));
     }
     Ok(())
 }
@@ -69,7 +69,7 @@
     reader: OwnedReadHalf,
     lines: Lines,
     server: Lines,
-    owners: Rc<RefCell<BTreeMap<String, Lines>>>,
+    callers_by_call: Rc<RefCell<BTreeMap<String, Lines>>>,
 ) -> io::Result<()> {
     let mut reader = BufReader::new(reader).lines();
     while let Some(line) = reader.next_line().await? {
@@ -78,7 +78,7 @@
         let (sid, body, attrs) = (text(&line["sid"]), text(&line["text"]), &line["attrs"]);
         let (method, number, extra) = match line["msg"].as_str() {
             Some("open") => {
-                owners.borrow_mut().insert(sid.clone(), lines.clone());
+                callers_by_call.borrow_mut().insert(sid.clone(), lines.clone());
                 let extra =
                     format!("P-Kind: {}\r\nP-Time-Left: {}\r\n", text(&attrs["class"]), text(&attrs["left"]));
                 ("INVITE", text(&attrs["key"]), extra)
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-async fn from_server(mut reader: OwnedReadHalf, owners: Rc<RefCell<BTreeMap<String, Lines>>>) {
+async fn from_server(mut reader: OwnedReadHalf, callers_by_call: Rc<RefCell<BTreeMap<String, Lines>>>) {
     let (mut bytes, mut chunk) = (Vec::new(), vec![0; 64 * 1024]);
     while let Ok(n @ 1..) = reader.read(&mut chunk).await {
         bytes.extend_from_slice(&chunk[..n]);
@@ -115,12 +115,12 @@
                 }
                 _ => continue,
             };
-            let over = line["msg"] == "close";
-            if let Some(lines) = owners.borrow().get(&sid) {
+            let is_final = line["msg"] == "close";
+            if let Some(lines) = callers_by_call.borrow().get(&sid) {
                 let _ = lines.send(format!("{line}\n").into_bytes());
             }
-            if over {
-                owners.borrow_mut().remove(&sid);
+            if is_final {
+                callers_by_call.borrow_mut().remove(&sid);
             }
         }
         bytes.drain(..used);
--- a/crates/lockpoint-lab/src/resolver.rs
+++ b/crates/lockpoint-lab/src/resolver.rs
@@ -1,4 +1,4 @@
-//! A resolver on a socket, for the DNS-SD records that name IAX2 call servers.
+//! A simulated DNS resolver on a socket; it serves the DNS-SD records of IAX2 call servers.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,45 +10,46 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// The service that it knows.
+/// The name of the service whose records it serves.
 pub const SERVICE: &str = "_iax._udp.clubs.example.";
 
-/// A resolver that knows the records of one service.
+/// A simulated resolver for one service.
 pub struct Resolver {
-    /// Where it listens.
+    /// The address at which it listens.
     pub at: SocketAddr,
-    /// What it knows.
+    /// The records that it serves.
     pub records: RefCell<Vec<Record>>,
-    /// How often it was asked.
+    /// The number of queries that it received.
     pub queries: Cell<usize>,
 }
 
 impl Resolver {
-    /// Starts one on a port that the system picks.
+    /// Starts a resolver on a free port.
     pub async fn start() -> Rc<Resolver> {
-        Resolver::start_at(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a port")
+        Resolver::start_at(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a free port")
     }
 
-    /// Starts one at an address.
+    /// Starts a resolver at an address.
     pub async fn start_at(at: SocketAddr) -> std::io::Result<Rc<Resolver>> {
         let socket = UdpSocket::bind(at).await?;
         let at = socket.local_addr()?;
         let resolver = Rc::new(Resolver { at, records: RefCell::default(), queries: Cell::new(0) });
-        let serving = resolver.clone();
+        let server = resolver.clone();
         spawn_local(async move {
             let mut bytes = vec![0; 4_096];
             while let Ok((n, from)) = socket.recv_from(&mut bytes).await {
                 let Ok(query) = Message::from_vec(&bytes[..n]) else { continue };
-                let Some(asked) = query.queries.first().cloned() else { continue };
-                serving.queries.set(serving.queries.get() + 1);
+                let Some(question) = query.queries.first().cloned() else { continue };
+                server.queries.set(server.queries.get() + 1);
                 let mut answer = Message::new(query.metadata.id, MessageType::Response, OpCode::Query);
-                answer.add_query(asked.clone());
-                let records = serving.records.borrow().clone();
-                if !records.iter().any(|r| r.name == *asked.name()) {
+                answer.add_query(question.clone());
+                let records = server.records.borrow().clone();
+                if !records.iter().any(|r| r.name == *question.name()) {
                     answer.metadata.response_code = ResponseCode::NXDomain;
                 }
-                let fits = |r: &Record| r.name == *asked.name() && r.record_type() == asked.query_type();
-                answer.add_answers(records.into_iter().filter(fits));
+                let matches_question =
+                    |r: &Record| r.name == *question.name() && r.record_type() == question.query_type();
+                answer.add_answers(records.into_iter().filter(matches_question));
                 let Ok(answer) = answer.to_vec() else { continue };
                 let _ = socket.send_to(&answer, from).await;
             }
@@ -56,23 +57,23 @@
         Ok(resolver)
     }
 
-    /// Names a call server: PTR, SRV, TXT and A.
+    /// Adds the records of a call server: PTR, SRV, TXT and A.
     pub fn add_server(&self, name: &str, at: SocketAddr, ttl: u32, text: &[String]) {
-        let named = |text: &str| Name::from_ascii(text).expect("a name");
+        let parse_name = |text: &str| Name::from_ascii(text).expect("a valid name");
         let (instance, target) =
-            (named(&format!("{name}.{SERVICE}")), named(&format!("{name}.clubs.example.")));
+            (parse_name(&format!("{name}.{SERVICE}")), parse_name(&format!("{name}.clubs.example.")));
         let mut records = self.records.borrow_mut();
         let mut add = |name: &Name, data| records.push(Record::from_rdata(name.clone(), ttl, data));
-        add(&named(SERVICE), RData::PTR(PTR(instance.clone())));
+        add(&parse_name(SERVICE), RData::PTR(PTR(instance.clone())));
         add(&instance, RData::SRV(SRV::new(0, 0, at.port(), target.clone())));
         add(&instance, RData::TXT(TXT::new(text.to_vec())));
         add(&target, RData::A(A(Ipv4Addr::LOCALHOST)));
     }
 
-    /// No record names it any more.
+    /// Removes all records of a call server.
     pub fn remove_server(&self, name: &str) {
-        let instance = Name::from_ascii(format!("{name}.{SERVICE}")).expect("a name");
-        let target = Name::from_ascii(format!("{name}.clubs.example.")).expect("a name");
+        let instance = Name::from_ascii(format!("{name}.{SERVICE}")).expect("a valid name");
+        let target = Name::from_ascii(format!("{name}.clubs.example.")).expect("a valid name");
         self.records.borrow_mut().retain(|record| {
             record.name != instance
                 && record.name != target
--- a/crates/lockpoint-lab/src/run.rs
+++ b/crates/lockpoint-lab/src/run.rs
@@ -18,6 +18,7 @@
 use crate::audit::Audit;
 use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
+use crate::event_log::{now, sleep_until, time_of, Ask, EventKind, EventLog, ListedState, RecordedEvent};
 use crate::experiment::{Experiment, Fault, FaultKind, ServerConfig, ServerProtocol, RECORD_LIFE};
 use crate::flood::Flood;
 use crate::iax2::{IaxCaller, IaxServer};
@@ -27,7 +28,6 @@
 use crate::server_model::ServerModel;
 use crate::sip::{ServerBehaviour, SipServer};
 use crate::under_test::{address, Agent, LabError, ResourceUsage, TempDir};
-use crate::world::{now, sleep_until, time_of, Ask, EventKind, EventLog, ListedState, RecordedEvent};
 
 /// Speed of a slow call server.
 const SLOW: f64 = 0.25;
--- a/crates/lockpoint-lab/src/scale/real.rs
+++ b/crates/lockpoint-lab/src/scale/real.rs
@@ -18,10 +18,10 @@
 use super::traffic::{MeanMax, Traffic};
 use crate::bulletin::{list_entry, Bulletin};
 use crate::callers::Caller;
+use crate::event_log::{EventKind, EventLog};
 use crate::fleet::processes::{settings, Process};
 use crate::sip::{ServerBehaviour, SipServer};
 use crate::under_test::{LabError, ResourceUsage, TempDir};
-use crate::world::{EventKind, EventLog};
 
 /// Call servers that the real controllers and the hollow ones list.
 const SERVERS: u16 = 6;
--- a/crates/lockpoint-lab/src/server_model.rs
+++ b/crates/lockpoint-lab/src/server_model.rs
@@ -11,8 +11,8 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
+use crate::event_log::{now, sleep_until};
 use crate::processor::{Admission, Processor, ProcessorConfig};
-use crate::world::{now, sleep_until};
 
 /// The number of circuits that a call server reports.
 const CIRCUITS: usize = 10_000;
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -9,11 +9,11 @@
 use lockpoint::interface::Span;
 use lockpoint_lab::bulletin::{list_entry, list_entry_started_at, Bulletin};
 use lockpoint_lab::callers::Caller;
+use lockpoint_lab::event_log::{on_one_thread, EventKind, EventLog};
 use lockpoint_lab::fleet::processes::{settings, Processes, ReportedObservation};
 use lockpoint_lab::processor::ProcessorConfig;
 use lockpoint_lab::server_model::ServerModel;
 use lockpoint_lab::sip::{ServerBehaviour, SipServer};
-use lockpoint_lab::world::{on_one_thread, EventKind, EventLog};
 use serde_json::{json, Value};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lockpoint");
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
+use lockpoint_lab::event_log::on_one_thread;
 use lockpoint_lab::experiment::Experiment;
 use lockpoint_lab::run::{run, OutputOptions};
-use lockpoint_lab::world::on_one_thread;
 
 const EXPERIMENT: &str = r#"
 name = "small"
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -8,7 +8,7 @@
 
 use lockpoint::control::{ask, Command as Asked, Reply, Request};
 use lockpoint_lab::bulletin::Bulletin;
-use lockpoint_lab::world::{on_one_thread, EventLog};
+use lockpoint_lab::event_log::{on_one_thread, EventLog};
 use serde_json::Value;
 
 const FILE: &str = r#"
--- a/tests/recovery_processes.rs
+++ b/tests/recovery_processes.rs
@@ -8,9 +8,9 @@
 use lockpoint::core::Sid;
 use lockpoint_lab::bulletin::{list_entry, Bulletin};
 use lockpoint_lab::callers::Caller;
+use lockpoint_lab::event_log::{on_one_thread, EventKind, EventLog, RecordedEvent};
 use lockpoint_lab::fleet::processes::{settings, Processes};
 use lockpoint_lab::sip::{ServerBehaviour, SipServer};
-use lockpoint_lab::world::{on_one_thread, EventKind, EventLog, RecordedEvent};
 use serde_json::{json, Value};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_lockpoint");
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 
 use lockpoint::interface::{Span, Time};
+use lockpoint_lab::event_log::on_one_thread;
 use lockpoint_lab::scale::address::Address;
 use lockpoint_lab::scale::bounds::{checks, Check, BYTES_A_SECOND, KNOWN_WITHIN_MS};
 use lockpoint_lab::scale::control_plane::{ChangeId, ControlPlane, ControlPlaneConfig, MakeControlPlane};
@@ -17,7 +18,6 @@
 use lockpoint_lab::scale::scenario::Fault;
 use lockpoint_lab::scale::traffic::MeanMax;
 use lockpoint_lab::scale::Options;
-use lockpoint_lab::world::on_one_thread;
 
 const SEED: u64 = 7;
 
