--- a/crates/lockpoint-lab/src/audit.rs
+++ b/crates/lockpoint-lab/src/audit.rs
@@ -1,5 +1,5 @@
-//! The checker: counts the five rules and the one final answer from what the stand-ins saw, never from what the
-//! controller says. No socket and no clock here.
+//! The checker: verifies the five rules and the rule of one final answer from the events at the simulated peers, never
+//! from what the controller reports. It uses no socket and reads no clock.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,42 +9,44 @@
 
 use crate::event_log::{Ask, EventKind, ListedState};
 
-/// Every time limit grows by this: stand-ins and the controller are scheduled by the same machine.
-const SLACK: Span = Span::from_millis(50);
-/// After the news that a call server drains or is gone: no new work later than this.
-const DRAINS_WITHIN: Span = Span::from_millis(250);
-/// After a time-out, a reset or a cancel: no further attempt for 500 ms, less what the stand-ins may have seen late.
-const QUIET: Span = Span::from_millis(500 - 50);
-/// A call that stood and ended owes its caller a release within this.
-const RELEASE_WITHIN: Span = Span::from_millis(1_000);
-/// The same where its call server's process died and could say nothing.
-const RELEASE_OF_DEAD: Span = Span::from_millis(8_000);
-/// Attempts of one call.
-const MOST_ATTEMPTS: u32 = 5;
-/// Calls that are over are forgotten after this.
-const KEPT: Span = Span::from_millis(20_000);
+/// The tolerance added to every time limit, because the simulated peers and the controller share one machine's scheduler.
+const TOLERANCE: Span = Span::from_millis(50);
+/// A call server listed as draining or gone must get no new work after this time.
+const DRAIN_GRACE: Span = Span::from_millis(250);
+/// After a time-out, a reset or a cancellation there must be no further attempt for 500 ms, less the delay with which the
+/// simulated peers may have recorded the event.
+const RETRY_GAP: Span = Span::from_millis(500 - 50);
+/// The caller of an established call that ended must receive a release within this time.
+const RELEASE_LIMIT: Span = Span::from_millis(1_000);
+/// The same when the call server's process died and could send nothing.
+const RELEASE_LIMIT_AFTER_DEATH: Span = Span::from_millis(8_000);
+/// The maximum number of attempts of one call.
+const MAX_ATTEMPTS: u32 = 5;
+/// How long ended calls are kept.
+const RETENTION: Span = Span::from_millis(20_000);
 
-/// A rule.
+/// A rule that the controller must keep. Summaries contain the variants' names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A taken call gets exactly one final answer before its caller gives up.
+    /// An accepted call gets exactly one final answer before its caller's timeout.
     OneAnswer,
-    /// One attempt out at a time, at most five, none within 500 ms of one that may still be out.
+    /// A call has one outstanding attempt at a time and at most five in all, and none within 500 ms of one that may still
+    /// be outstanding.
     OneAttempt,
-    /// No new work later than 250 ms after the news that a call server drains or is gone; only listed ones get any.
+    /// A call server gets no new work later than 250 ms after it is listed as draining or gone, and none if not listed.
     Drain,
-    /// No cold call server is pushed over.
+    /// No cold call server is overloaded until it crashes.
     Cold,
-    /// A call that stood and ended owes its caller a release within 1 s.
+    /// The caller of an established call that ended receives a release within 1 s.
     Release,
-    /// Class, number and description pass on unchanged, and the answer is a call server's own.
+    /// Class, number and description are passed on unchanged, and the answer is one that a call server gave.
     Unchanged,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Final {
-    Stands,
+    Established,
     Refused,
 }
 
@@ -52,34 +54,34 @@
 struct Call {
     asked: Time,
     ask: Option<Rc<Ask>>,
-    first: Option<(Time, Final)>,
+    final_outcome: Option<(Time, Final)>,
     gave_up: bool,
     hung_up: bool,
-    out: Option<String>,
+    outstanding: Option<String>,
     attempts: u32,
-    quiet_until: Time,
+    no_attempt_before: Time,
     answers: Vec<String>,
-    /// Since when it is over, and by when its caller must know.
-    over: Option<Time>,
-    due: Option<Time>,
-    told: Option<Time>,
-    last: Time,
+    /// When its established call ended, and by when its caller must receive the release.
+    ended_at: Option<Time>,
+    release_due: Option<Time>,
+    release_received: Option<Time>,
+    last_event: Time,
 }
 
-/// What the checker has counted so far.
+/// The checker's counts.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Counts {
-    /// Set-ups asked for, redials with them.
+    /// Set-ups requested, including redials.
     pub asked: u64,
-    /// Calls that stood.
+    /// Calls that were established.
     pub stood: u64,
-    /// Refused or failed, by a final answer.
+    /// Calls refused or failed, by a final answer.
     pub refused: u64,
-    /// Given up by their callers before an answer.
+    /// Calls cancelled by their callers before an answer.
     pub given_up: u64,
-    /// Set-ups that reached call servers.
+    /// Set-ups received by call servers.
     pub attempts: u64,
-    /// Releases that reached callers.
+    /// Releases received by callers.
     pub released: u64,
 }
 
@@ -87,211 +89,236 @@
 #[derive(Debug, Default)]
 pub struct Audit {
     calls: BTreeMap<String, Call>,
-    news: BTreeMap<String, (ListedState, Time)>,
-    broken: BTreeMap<Rule, (u64, String)>,
-    /// What it has counted.
+    listed_states: BTreeMap<String, (ListedState, Time)>,
+    violations: BTreeMap<Rule, (u64, String)>,
+    /// The counts so far.
     pub counts: Counts,
-    swept: Time,
+    last_sweep: Time,
 }
 
 impl Audit {
-    fn breaks(&mut self, rule: Rule, sid: &str, how: &str) {
-        let entry = self.broken.entry(rule).or_insert_with(|| (0, format!("{sid}: {how}")));
+    fn add_violation(&mut self, rule: Rule, sid: &str, detail: &str) {
+        let entry = self.violations.entry(rule).or_insert_with(|| (0, format!("{sid}: {detail}")));
         entry.0 += 1;
     }
 
-    /// Each broken rule: how often, and the first case.
+    /// The number of violations of each broken rule, and the first case.
     pub fn violations(&self) -> &BTreeMap<Rule, (u64, String)> {
-        &self.broken
+        &self.violations
     }
 
-    /// Takes what a stand-in saw: when, which stand-in, of which call, and what.
-    pub fn record(&mut self, at: Time, who: &str, sid: &str, what: &EventKind) {
-        match what {
-            EventKind::News(news, later) => {
+    /// Processes an event: its time, the simulated peer, the call and the kind.
+    pub fn record(&mut self, at: Time, source: &str, sid: &str, kind: &EventKind) {
+        match kind {
+            EventKind::News(state, later) => {
                 let later = Span(u64::try_from(later.as_micros()).unwrap_or(u64::MAX));
-                self.news.insert(who.to_owned(), (*news, at.plus(later)));
+                self.listed_states.insert(source.to_owned(), (*state, at.plus(later)));
             }
-            EventKind::Tipped => self.breaks(Rule::Cold, who, "a cold call server fell over"),
-            EventKind::Died => self.died(at, who),
+            EventKind::Tipped => {
+                self.add_violation(Rule::Cold, source, "a cold call server was overloaded and crashed")
+            }
+            EventKind::Died => self.server_died(at, source),
             _ if sid.is_empty() => {}
             EventKind::Asked(ask) => {
                 self.counts.asked += 1;
                 let ask = Some(ask.clone());
-                self.calls.insert(sid.to_owned(), Call { asked: at, ask, last: at, ..Call::default() });
+                self.calls.insert(sid.to_owned(), Call { asked: at, ask, last_event: at, ..Call::default() });
             }
-            _ => self.of_call(at, who, sid, what),
+            _ => self.record_call_event(at, source, sid, kind),
         }
-        if at.since(self.swept) > Span::from_millis(1_000) {
-            self.swept = at;
+        if at.since(self.last_sweep) > Span::from_millis(1_000) {
+            self.last_sweep = at;
             self.sweep(at, false);
         }
     }
 
-    fn of_call(&mut self, at: Time, who: &str, sid: &str, what: &EventKind) {
+    fn record_call_event(&mut self, at: Time, source: &str, sid: &str, kind: &EventKind) {
         let Some(mut call) = self.calls.remove(sid) else {
-            if matches!(what, EventKind::SetUp(..)) {
-                self.breaks(Rule::Unchanged, sid, "a set-up that nobody asked for");
+            if matches!(kind, EventKind::SetUp(..)) {
+                self.add_violation(Rule::Unchanged, sid, "a set-up that no caller requested");
             }
             return;
         };
-        call.last = at;
-        self.step(at, who, sid, what, &mut call);
+        call.last_event = at;
+        self.apply(at, source, sid, kind, &mut call);
         self.calls.insert(sid.to_owned(), call);
     }
 
-    fn step(&mut self, at: Time, who: &str, sid: &str, what: &EventKind, call: &mut Call) {
-        match what {
-            EventKind::SetUp(class, number, text) => self.set_up(at, who, sid, (class, number, text), call),
+    fn apply(&mut self, at: Time, source: &str, sid: &str, kind: &EventKind, call: &mut Call) {
+        match kind {
+            EventKind::SetUp(class, number, text) => {
+                self.set_up(at, source, sid, (class, number, text), call)
+            }
             EventKind::Answered(text) => call.answers.push(text.clone()),
-            EventKind::Refused if call.out.as_deref() == Some(who) => call.out = None,
-            // What call servers say of attempts that were given up before is no matter of the caller's any more.
+            EventKind::Refused if call.outstanding.as_deref() == Some(source) => call.outstanding = None,
+            // Messages of call servers about attempts that were abandoned before do not concern the caller any more.
             EventKind::Cancel | EventKind::Bye(_) | EventKind::Released
-                if call.out.as_deref() != Some(who) => {}
-            // A BYE here ends what was answered too late, or never reached the controller.
-            EventKind::Cancel | EventKind::Bye(_) if !matches!(call.first, Some((_, Final::Stands))) => {
-                call.out = None;
-                call.quiet_until = at.plus(QUIET);
+                if call.outstanding.as_deref() != Some(source) => {}
+            // Here a BYE ends a call whose answer came too late or never reached the controller.
+            EventKind::Cancel | EventKind::Bye(_)
+                if !matches!(call.final_outcome, Some((_, Final::Established))) =>
+            {
+                call.outstanding = None;
+                call.no_attempt_before = at.plus(RETRY_GAP);
             }
             EventKind::Cancel | EventKind::Bye(_) | EventKind::Released => {
-                call.out = None;
-                self.over(at, RELEASE_WITHIN, call);
+                call.outstanding = None;
+                self.end_call(at, RELEASE_LIMIT, call);
             }
             EventKind::GaveUp => call.gave_up = true,
             EventKind::HungUp => call.hung_up = true,
-            EventKind::Ready(text) => self.final_one(at, sid, Final::Stands, Some(text), call),
-            EventKind::Close(..) => match call.first {
-                Some((_, Final::Stands)) => {
-                    self.counts.released += u64::from(call.told.is_none());
-                    call.told.get_or_insert(at);
+            EventKind::Ready(text) => self.final_answer(at, sid, Final::Established, Some(text), call),
+            EventKind::Close(..) => match call.final_outcome {
+                Some((_, Final::Established)) => {
+                    self.counts.released += u64::from(call.release_received.is_none());
+                    call.release_received.get_or_insert(at);
                 }
-                _ => self.final_one(at, sid, Final::Refused, None, call),
+                _ => self.final_answer(at, sid, Final::Refused, None, call),
             },
             _ => {}
         }
     }
 
-    fn set_up(&mut self, at: Time, who: &str, sid: &str, passed: (&str, &str, &str), call: &mut Call) {
+    fn set_up(&mut self, at: Time, source: &str, sid: &str, passed: (&str, &str, &str), call: &mut Call) {
         self.counts.attempts += 1;
         call.attempts += 1;
-        // What an earlier attempt came to is no matter of its caller's any more.
-        (call.over, call.due) = (None, None);
+        // The end of an earlier attempt does not concern the caller any more.
+        (call.ended_at, call.release_due) = (None, None);
         let asked = call.ask.as_deref().map(|ask| (&*ask.class, &*ask.number, &*ask.text));
         if asked != Some(passed) {
-            self.breaks(Rule::Unchanged, sid, "class, number or description has changed on the way");
+            self.add_violation(Rule::Unchanged, sid, "class, number or description was changed");
         }
-        if let Some(other) = call.out.replace(who.to_owned()) {
-            self.breaks(Rule::OneAttempt, sid, &format!("sent to {who} while out at {other}"));
+        if let Some(other) = call.outstanding.replace(source.to_owned()) {
+            self.add_violation(
+                Rule::OneAttempt,
+                sid,
+                &format!("sent to {source} while an attempt is outstanding at {other}"),
+            );
         }
-        if call.attempts > MOST_ATTEMPTS {
-            self.breaks(Rule::OneAttempt, sid, "a sixth attempt");
+        if call.attempts > MAX_ATTEMPTS {
+            self.add_violation(Rule::OneAttempt, sid, "a sixth attempt");
         }
-        if at < call.quiet_until {
-            self.breaks(Rule::OneAttempt, sid, "sent again within 500 ms of one that may still be out");
+        if at < call.no_attempt_before {
+            self.add_violation(
+                Rule::OneAttempt,
+                sid,
+                "sent again within 500 ms of an attempt that may still be outstanding",
+            );
         }
-        if call.first.is_some() && !call.gave_up {
-            self.breaks(Rule::OneAttempt, sid, "sent after its final answer");
+        if call.final_outcome.is_some() && !call.gave_up {
+            self.add_violation(Rule::OneAttempt, sid, "sent after its final answer");
         }
-        match self.news.get(who) {
-            None => self.breaks(Rule::Drain, sid, &format!("sent to {who}, which is not listed")),
+        match self.listed_states.get(source) {
+            None => self.add_violation(Rule::Drain, sid, &format!("sent to {source}, which is not listed")),
             Some((ListedState::Ready, _)) => {}
-            Some((_, told)) => {
-                let late = at.since(told.plus(DRAINS_WITHIN).plus(SLACK));
+            Some((_, changed_at)) => {
+                let late = at.since(changed_at.plus(DRAIN_GRACE).plus(TOLERANCE));
                 if late > Span::default() {
-                    let how = format!("sent to {who} {} ms too late", late.0 / 1000);
-                    self.breaks(Rule::Drain, sid, &how);
+                    let detail = format!("sent to {source} {} ms too late", late.0 / 1000);
+                    self.add_violation(Rule::Drain, sid, &detail);
                 }
             }
         }
     }
 
-    fn final_one(&mut self, at: Time, sid: &str, how: Final, text: Option<&str>, call: &mut Call) {
-        if call.first.is_some() {
-            return self.breaks(Rule::OneAnswer, sid, "a second final answer");
+    fn final_answer(&mut self, at: Time, sid: &str, outcome: Final, text: Option<&str>, call: &mut Call) {
+        if call.final_outcome.is_some() {
+            return self.add_violation(Rule::OneAnswer, sid, "a second final answer");
         }
-        call.first = Some((at, how));
-        // One that crosses its caller's giving up is nobody's.
+        call.final_outcome = Some((at, outcome));
+        // An answer that crosses the caller's cancellation is not counted.
         if !call.gave_up {
             let left = call.ask.as_ref().map_or(0, |ask| ask.left_ms);
-            if at > call.asked.plus(Span::from_millis(left)).plus(SLACK) {
-                self.breaks(Rule::OneAnswer, sid, "its final answer came too late");
+            if at > call.asked.plus(Span::from_millis(left)).plus(TOLERANCE) {
+                self.add_violation(Rule::OneAnswer, sid, "its final answer came too late");
             }
-            match how {
-                Final::Stands => self.counts.stood += 1,
+            match outcome {
+                Final::Established => self.counts.stood += 1,
                 Final::Refused => self.counts.refused += 1,
             }
         }
         if text.is_some_and(|text| !call.answers.iter().any(|answer| answer == text)) {
-            self.breaks(Rule::Unchanged, sid, "answered with what no call server made");
+            self.add_violation(Rule::Unchanged, sid, "answered with a description that no call server gave");
         }
     }
 
-    fn over(&mut self, at: Time, within: Span, call: &mut Call) {
-        if call.over.is_none() {
-            call.over = Some(at);
-            call.due = Some(at.plus(within).plus(SLACK));
+    fn end_call(&mut self, at: Time, within: Span, call: &mut Call) {
+        if call.ended_at.is_none() {
+            call.ended_at = Some(at);
+            call.release_due = Some(at.plus(within).plus(TOLERANCE));
         }
     }
 
-    fn died(&mut self, at: Time, who: &str) {
+    fn server_died(&mut self, at: Time, source: &str) {
         let mut calls = std::mem::take(&mut self.calls);
-        for call in calls.values_mut().filter(|call| call.out.as_deref() == Some(who)) {
-            call.out = None;
-            call.last = at;
-            call.quiet_until = at.plus(QUIET);
+        for call in calls.values_mut().filter(|call| call.outstanding.as_deref() == Some(source)) {
+            call.outstanding = None;
+            call.last_event = at;
+            call.no_attempt_before = at.plus(RETRY_GAP);
             if !call.answers.is_empty() {
-                self.over(at, RELEASE_OF_DEAD, call);
+                self.end_call(at, RELEASE_LIMIT_AFTER_DEATH, call);
             }
         }
         self.calls = calls;
     }
 
-    /// Looks for what is overdue, and forgets what is long over. At the `end` nothing is forgotten unlooked at.
+    /// Checks for overdue answers and releases, and drops calls that ended long ago. At the `end` every call is kept and
+    /// checked.
     fn sweep(&mut self, now: Time, end: bool) {
         let mut calls = std::mem::take(&mut self.calls);
         calls.retain(|sid, call| {
             let left = call.ask.as_ref().map_or(0, |ask| ask.left_ms);
-            if call.first.is_none() && call.gave_up {
+            if call.final_outcome.is_none() && call.gave_up {
                 self.counts.given_up += 1;
-                call.first = Some((now, Final::Refused));
+                call.final_outcome = Some((now, Final::Refused));
             }
-            if call.first.is_none() && now > call.asked.plus(Span::from_millis(left + 1_000)) {
-                self.breaks(Rule::OneAnswer, sid, "no final answer");
-                call.first = Some((now, Final::Refused));
+            if call.final_outcome.is_none() && now > call.asked.plus(Span::from_millis(left + 1_000)) {
+                self.add_violation(Rule::OneAnswer, sid, "no final answer");
+                call.final_outcome = Some((now, Final::Refused));
                 return true;
             }
-            // An answer that crossed the caller's own end owes it nothing more.
-            let Some((_, Final::Stands)) = call.first else { return end || now.since(call.last) < KEPT };
-            let owed = !call.hung_up && !call.gave_up;
-            let since = call.first.map_or(now, |(at, _)| at);
-            let due = call.due.map(|due| due.max(since.plus(RELEASE_WITHIN).plus(SLACK)));
-            let late = match (due, call.told) {
-                (Some(due), None) => now > due,
-                (Some(due), Some(told)) => told > due,
+            // A caller that cancelled while the answer was on its way is owed nothing.
+            let Some((_, Final::Established)) = call.final_outcome else {
+                return end || now.since(call.last_event) < RETENTION;
+            };
+            let release_owed = !call.hung_up && !call.gave_up;
+            let since = call.final_outcome.map_or(now, |(at, _)| at);
+            let release_due = call
+                .release_due
+                .map(|release_due| release_due.max(since.plus(RELEASE_LIMIT).plus(TOLERANCE)));
+            let late = match (release_due, call.release_received) {
+                (Some(release_due), None) => now > release_due,
+                (Some(release_due), Some(release_received)) => release_received > release_due,
                 (None, _) => false,
             };
-            if owed && late {
-                self.breaks(Rule::Release, sid, "its caller was not told in time that it was over");
+            if release_owed && late {
+                self.add_violation(Rule::Release, sid, "its caller did not receive the release in time");
                 return false;
             }
-            if end && call.hung_up && call.over.is_none() {
-                self.breaks(Rule::Release, sid, "its call server was never told that its caller hung up");
+            if end && call.hung_up && call.ended_at.is_none() {
+                self.add_violation(
+                    Rule::Release,
+                    sid,
+                    "its call server was never told that the caller hung up",
+                );
             }
-            let done = call.over.is_some() && (call.told.is_some() || !owed);
-            end || !done || now.since(call.last) < KEPT
+            let done = call.ended_at.is_some() && (call.release_received.is_some() || !release_owed);
+            end || !done || now.since(call.last_event) < RETENTION
         });
         self.calls = calls;
     }
 
-    /// Calls that are asked for and have no final answer, and calls that stand.
+    /// The numbers of requested calls without a final answer and of established calls.
     pub fn pending(&self) -> (usize, usize) {
         let calls = self.calls.values();
-        let open = calls.clone().filter(|call| call.first.is_none() && !call.gave_up).count();
-        let stands = |call: &&Call| matches!(call.first, Some((_, Final::Stands))) && call.over.is_none();
-        (open, calls.filter(stands).count())
+        let open = calls.clone().filter(|call| call.final_outcome.is_none() && !call.gave_up).count();
+        let established = |call: &&Call| {
+            matches!(call.final_outcome, Some((_, Final::Established))) && call.ended_at.is_none()
+        };
+        (open, calls.filter(established).count())
     }
 
-    /// All has been seen: what is overdue by now is counted.
+    /// Ends the check after the last event: overdue answers and releases are counted.
     pub fn finish(&mut self, now: Time) {
         self.sweep(now, true);
     }
@@ -302,7 +329,7 @@
     use super::*;
     use std::time::Duration;
 
-    /// A good call, with one thing put in or left out by each case below.
+    /// The events of a call that keeps all rules; each test case below changes one of them.
     fn script() -> Vec<(u64, &'static str, EventKind)> {
         let ask = Ask { class: "c".into(), number: "n".into(), text: "t".into(), left_ms: 2_000 };
         vec![
@@ -319,25 +346,25 @@
         ]
     }
 
-    fn verdict(script: &[(u64, &'static str, EventKind)]) -> Vec<Rule> {
+    fn violated_rules(script: &[(u64, &'static str, EventKind)]) -> Vec<Rule> {
         let mut audit = Audit::default();
-        for (ms, who, what) in script {
-            let sid = if matches!(what, EventKind::News(..) | EventKind::Died | EventKind::Tipped) {
+        for (ms, source, kind) in script {
+            let sid = if matches!(kind, EventKind::News(..) | EventKind::Died | EventKind::Tipped) {
                 ""
             } else {
                 "1"
             };
-            audit.record(Time(1_000_000 + ms * 1000), who, sid, what);
+            audit.record(Time(1_000_000 + ms * 1000), source, sid, kind);
         }
         audit.finish(Time(60_000_000));
         audit.violations().keys().copied().collect()
     }
 
     #[test]
-    fn each_fault_breaks_its_rule_and_a_good_call_none() {
-        assert_eq!(verdict(&script()), []);
-        type Spoil = fn(&mut Vec<(u64, &'static str, EventKind)>);
-        let cases: &[(Rule, Spoil)] = &[
+    fn each_fault_violates_its_rule_and_a_correct_call_none() {
+        assert_eq!(violated_rules(&script()), []);
+        type Change = fn(&mut Vec<(u64, &'static str, EventKind)>);
+        let cases: &[(Rule, Change)] = &[
             (Rule::OneAnswer, |s| drop(s.drain(7..))),
             (Rule::OneAnswer, |s| s[7].0 = 2_100),
             (Rule::OneAnswer, |s| s.insert(8, (970, "caller", EventKind::Ready("a".into())))),
@@ -363,24 +390,27 @@
                 s[9].0 = 11_100;
             }),
         ];
-        for (n, (rule, spoil)) in cases.iter().enumerate() {
+        for (n, (rule, change)) in cases.iter().enumerate() {
             let mut script = script();
-            spoil(&mut script);
-            assert!(verdict(&script).contains(rule), "case {n}: {rule:?} is not seen");
+            change(&mut script);
+            assert!(
+                violated_rules(&script).contains(rule),
+                "case {n}: the violation of {rule:?} is not detected"
+            );
         }
     }
 
     #[test]
-    fn giving_up_a_draining_server_s_time_and_a_dead_one_s_calls_are_not_held_against_it() {
+    fn cancelling_and_the_grace_periods_for_draining_and_dead_servers_violate_no_rule() {
         let mut script = script();
         script.truncate(4);
         script.push((300, "caller", EventKind::GaveUp));
         script.push((310, "s0", EventKind::Cancel));
-        assert_eq!(verdict(&script), []);
+        assert_eq!(violated_rules(&script), []);
         let mut script = self::script();
         script[1].2 = EventKind::News(ListedState::Draining, Duration::from_millis(700));
         script[8].2 = EventKind::Died;
         script[9].0 = 10_000;
-        assert_eq!(verdict(&script), []);
+        assert_eq!(violated_rules(&script), []);
     }
 }
--- a/crates/lockpoint-lab/src/demo.rs
+++ b/crates/lockpoint-lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: an agent with an operator's file, stand-ins at the places that the file names, calls on both
+//! The demonstration: an agent with an operator's file, simulated peers at the addresses in that file, and calls over both
 //! protocols.
 
 use std::path::Path;
@@ -11,21 +11,21 @@
 use crate::run::{run_on, OutputOptions, TestBed};
 use crate::under_test::{sibling_program, Agent, LabError};
 
-/// Runs it: so many seconds at 80%, then as many at 120%.
+/// Runs the demonstration: `seconds` at 80% of the call servers' capacity, then as many at 120%.
 pub async fn run(config: &Path, seconds: f64) -> Result<Outcome, LabError> {
-    let read = from_file(config).map_err(|error| match error {
+    let config_file = from_file(config).map_err(|error| match error {
         ConfigError::Key { file, key, why } => LabError::file(&file, format!("at key '{key}': {why}")),
         other => LabError::file(config, other),
     })?;
-    let first = &read.instances[0];
-    let need = |key: &str| LabError::file(config, format!("instance '{}' has no '{key}'", first.name));
-    let bulletin = first.bulletin.ok_or_else(|| need("bulletin"))?;
-    let resolver = first.dns_sd.as_ref().ok_or_else(|| need("dns_sd"))?.resolver;
+    let first = &config_file.instances[0];
+    let missing = |key: &str| LabError::file(config, format!("instance '{}' has no '{key}'", first.name));
+    let bulletin = first.bulletin.ok_or_else(|| missing("bulletin"))?;
+    let resolver = first.dns_sd.as_ref().ok_or_else(|| missing("dns_sd"))?.resolver;
     let server = |(n, protocol)| {
         let processor = ProcessorConfig { capacity: 40.0, ..ProcessorConfig::default() };
         ServerConfig { name: format!("server{n}"), protocol, processor }
     };
-    let speaks = [ServerProtocol::Sip, ServerProtocol::Sip, ServerProtocol::Iax2, ServerProtocol::Iax2];
+    let protocols = [ServerProtocol::Sip, ServerProtocol::Sip, ServerProtocol::Iax2, ServerProtocol::Iax2];
     let experiment = Experiment {
         name: "demo: 80%, then 120%".to_owned(),
         seed: 1,
@@ -35,14 +35,14 @@
         path: Default::default(),
         hold_ms: 4_000,
         aim_ms: 2_000,
-        server: speaks.into_iter().enumerate().map(server).collect(),
+        server: protocols.into_iter().enumerate().map(server).collect(),
         fault: Vec::new(),
         burst: vec![Burst { at: seconds, seconds, factor: 1.5 }],
         flood: None,
         iax2: Default::default(),
     };
-    let stage = TestBed::start(&experiment, bulletin, resolver).await?;
-    let agent = Agent::start(&sibling_program("lockpoint"), config, &read.control, false)?;
+    let test_bed = TestBed::start(&experiment, bulletin, resolver).await?;
+    let agent = Agent::start(&sibling_program("lockpoint"), config, &config_file.control, false)?;
     println!("lockpoint agent --config {}: process {}", config.display(), agent.pid);
-    run_on(&experiment, stage, agent, &first.name, OutputOptions { live: true, trace: None }).await
+    run_on(&experiment, test_bed, agent, &first.name, OutputOptions { live: true, trace: None }).await
 }
--- a/crates/lockpoint-lab/src/experiment.rs
+++ b/crates/lockpoint-lab/src/experiment.rs
@@ -1,4 +1,4 @@
-//! An experiment as a file: who calls how often, which call servers there are, what goes wrong and when.
+//! Experiment files: the load, the call servers, the faults and their times.
 
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 use crate::processor::ProcessorConfig;
 use crate::under_test::LabError;
 
-/// Records of a call server live so long, in seconds.
+/// The time to live of a call server's DNS records, in seconds.
 pub const RECORD_LIFE: u32 = 1;
 
 /// An experiment.
@@ -20,67 +20,67 @@
 pub struct Experiment {
     /// Its title.
     pub name: String,
-    /// All chance comes from this.
-    #[serde(default = "one")]
+    /// The seed of all random decisions.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long callers ask, in seconds.
+    /// How long callers request calls, in seconds.
     pub seconds: f64,
-    /// The rate of arrivals as a share of the planned capacity: that of all call servers together, warm.
+    /// The arrival rate as a share of the planned capacity, which is that of all call servers together when warm.
     pub load: f64,
-    /// What callers are like.
+    /// The behaviour of the callers.
     #[serde(default)]
     pub callers: CallersConfig,
-    /// The datagram path in front of every IAX2 stand-in.
+    /// The datagram path in front of each simulated IAX2 peer.
     #[serde(default)]
     pub path: PathConfig,
-    /// Calls stand for so long in the mean, in milliseconds.
-    #[serde(default = "usual_hold")]
+    /// The mean duration of a call, in milliseconds.
+    #[serde(default = "default_hold_ms")]
     pub hold_ms: u64,
-    /// Those that answer later than this are late, in milliseconds.
-    #[serde(default = "usual_aim")]
+    /// The set-up time target, in milliseconds; later answers count as late.
+    #[serde(default = "default_aim_ms")]
     pub aim_ms: u64,
     /// The call servers.
     pub server: Vec<ServerConfig>,
-    /// What goes wrong.
+    /// The faults.
     #[serde(default)]
     pub fault: Vec<Fault>,
-    /// When more callers come.
+    /// The periods with a higher arrival rate.
     #[serde(default)]
     pub burst: Vec<Burst>,
-    /// Forged NEWs beside the callers, for as long as they ask.
+    /// Forged NEWs that are sent as long as callers request calls.
     #[serde(default)]
     pub flood: Option<FloodConfig>,
-    /// Keys of the agent's `iax2` besides its addresses, such as `tokens`.
+    /// Further keys of the agent's `iax2` section, such as `tokens`; its addresses are set by the laboratory.
     #[serde(default)]
     pub iax2: toml::Table,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
-fn usual_hold() -> u64 {
+fn default_hold_ms() -> u64 {
     4_000
 }
-fn usual_aim() -> u64 {
+fn default_aim_ms() -> u64 {
     2_000
 }
 
-/// A protocol that call servers speak.
+/// A protocol of call servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-#[allow(missing_docs)] // the names say it
+#[allow(missing_docs)] // the variants are the protocols' names
 pub enum ServerProtocol {
     Sip,
     Iax2,
 }
 
-/// A call server; its cell is its place in the file.
+/// A call server; its cell is its position in the file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerConfig {
-    /// Its name in the list.
+    /// Its name in its directory.
     pub name: String,
-    /// What it speaks; SIP ones are listed by the bulletin, IAX2 ones by DNS-SD.
+    /// Its protocol; SIP call servers are listed by the bulletin, IAX2 call servers by DNS-SD.
     #[serde(rename = "speaks")]
     pub protocol: ServerProtocol,
     /// Its processor.
@@ -88,58 +88,58 @@
     pub processor: ProcessorConfig,
 }
 
-/// What can go wrong with a call server.
+/// The kind of a call server's fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FaultKind {
-    /// It hears and says nothing.
+    /// It receives messages but sends nothing.
     Silent,
-    /// It works at a quarter of its speed.
+    /// It works at a quarter of its usual speed.
     Slow,
     /// It answers with errors.
     #[serde(rename = "errs")]
     Errors,
-    /// The list says that it drains, then that it is ready again.
+    /// Its directory lists it as draining, and at the end as ready again.
     Drain,
-    /// Its process dies, and starts again, cold, at the end.
+    /// Its process dies, and restarts cold at the end.
     Restart,
 }
 
-/// A fault.
+/// A fault of one call server.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// From when on, in seconds.
+    /// When it begins, in seconds after the start.
     pub at: f64,
-    /// For how long, in seconds.
+    /// Its duration, in seconds.
     pub seconds: f64,
-    /// Which call server.
+    /// The name of the call server.
     pub server: String,
-    /// What goes wrong.
+    /// The kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
 
-/// A burst.
+/// A period with a higher arrival rate.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// From when on, in seconds.
+    /// When it begins, in seconds after the start.
     pub at: f64,
-    /// For how long, in seconds.
+    /// Its duration, in seconds.
     pub seconds: f64,
-    /// The rate is this many times the usual one.
+    /// The factor by which the arrival rate is multiplied.
     pub factor: f64,
 }
 
 impl Experiment {
-    /// Reads a file.
+    /// Reads an experiment file.
     pub fn from_file(file: &Path) -> Result<Experiment, LabError> {
         let text = std::fs::read_to_string(file).map_err(|e| LabError::file(file, e))?;
-        Experiment::parse(&text).map_err(|why| LabError::file(file, why))
+        Experiment::parse(&text).map_err(|error| LabError::file(file, error))
     }
 
-    /// Reads a file's text; an error names the key.
+    /// Parses the text of an experiment file; an error names the key.
     pub fn parse(text: &str) -> Result<Experiment, String> {
         let table: toml::Table =
             text.parse().map_err(|e: toml::de::Error| e.to_string().trim().replace('\n', " "))?;
@@ -174,21 +174,21 @@
         Ok(read)
     }
 
-    /// Calls a second that all call servers bear together, warm.
+    /// The capacity of all call servers together when warm, in calls per second.
     pub fn capacity(&self) -> f64 {
         self.server.iter().map(|server| server.processor.capacity).sum()
     }
 
-    /// Arrivals a second so many seconds after the start.
+    /// The arrival rate per second, `at` seconds after the start.
     pub fn rate(&self, at: f64) -> f64 {
         let bursts = self.burst.iter().filter(|b| (b.at..b.at + b.seconds).contains(&at));
         self.load * self.capacity() * bursts.map(|b| b.factor).product::<f64>()
     }
 
-    /// The settings of the instance under test, in the platform's names and units.
+    /// The settings of the instance under test, with the keys and units of the platform's JSON.
     pub fn settings(&self) -> Value {
         let cells: Vec<usize> = (0..self.server.len()).collect();
-        let one = &self.server[0].processor;
+        let first = &self.server[0].processor;
         json!({"balancers": 1,
             "bounds": {"cancel": true, "connect-timeout-us": 500_000, "max-attempts": 5,
                 "max-retry-after-us": 2_000_000, "most-held": 20_000, "retry-after": true},
@@ -200,8 +200,8 @@
                 "shape": "skills", "this-node": -1, "widths": [1], "says-wait": true},
             "granularity-us": 5_000,
             "report": {"how": "inline", "names": ["idle", "circuits", "cpu_share", "pending"]},
-            "rules": {"cold-share": one.cold_share, "cold-us": one.cold_ms * 1000,
-                "overload-factor": one.overload_factor, "tip-after-us": one.tip_ms * 1000},
+            "rules": {"cold-share": first.cold_share, "cold-us": first.cold_ms * 1000,
+                "overload-factor": first.overload_factor, "tip-after-us": first.tip_ms * 1000},
             "zones": ["east"]})
     }
 }
@@ -210,32 +210,32 @@
 mod tests {
     use super::*;
 
-    const GOOD: &str = "name = 'x'\nseconds = 2\nload = 1.2\n[[server]]\nname = 's0'\nspeaks = 'sip'\n";
+    const VALID: &str = "name = 'x'\nseconds = 2\nload = 1.2\n[[server]]\nname = 's0'\nspeaks = 'sip'\n";
 
     #[test]
-    fn a_bad_file_is_told_by_its_key() {
-        assert!(Experiment::parse(GOOD).is_ok());
-        for (bad, key) in [
-            (GOOD.replace("load = 1.2", "load = -1"), "'load'"),
-            (GOOD.replace("seconds = 2", "seconds = 'two'"), "'seconds'"),
-            (GOOD.replace("'sip'", "'h323'"), "'server[0].speaks'"),
-            (format!("{GOOD}[[server]]\nname = 's0'\nspeaks = 'iax2'\n"), "'server[1].name'"),
+    fn an_invalid_file_is_rejected_with_its_key() {
+        assert!(Experiment::parse(VALID).is_ok());
+        for (invalid, key) in [
+            (VALID.replace("load = 1.2", "load = -1"), "'load'"),
+            (VALID.replace("seconds = 2", "seconds = 'two'"), "'seconds'"),
+            (VALID.replace("'sip'", "'h323'"), "'server[0].speaks'"),
+            (format!("{VALID}[[server]]\nname = 's0'\nspeaks = 'iax2'\n"), "'server[1].name'"),
             (
-                format!("{GOOD}[[fault]]\nat = 1\nseconds = 1\nserver = 's9'\nwhat = 'slow'\n"),
+                format!("{VALID}[[fault]]\nat = 1\nseconds = 1\nserver = 's9'\nwhat = 'slow'\n"),
                 "'fault[0].server'",
             ),
-            (format!("{GOOD}processor.capacity = 0.0\n"), "'server[0].processor.capacity'"),
-            (GOOD.replace("load", "lode"), "lode"),
+            (format!("{VALID}processor.capacity = 0.0\n"), "'server[0].processor.capacity'"),
+            (VALID.replace("load", "lode"), "lode"),
         ] {
-            let why = Experiment::parse(&bad).expect_err("a bad file");
-            assert!(why.contains(key) && !why.contains('\n'), "{key}: {why}");
+            let error = Experiment::parse(&invalid).expect_err("an invalid file");
+            assert!(error.contains(key) && !error.contains('\n'), "{key}: {error}");
         }
     }
 
     #[test]
-    fn a_burst_raises_the_rate_for_its_time() {
-        let text = format!("{GOOD}[[burst]]\nat = 1\nseconds = 0.5\nfactor = 3\n");
-        let experiment = Experiment::parse(&text).expect("a good file");
+    fn a_burst_raises_the_arrival_rate_while_it_lasts() {
+        let text = format!("{VALID}[[burst]]\nat = 1\nseconds = 0.5\nfactor = 3\n");
+        let experiment = Experiment::parse(&text).expect("a valid file");
         let rates = [0.5, 1.2, 1.6].map(|at| experiment.rate(at).round());
         assert_eq!(rates, [60.0, 180.0, 60.0]);
     }
--- a/crates/lockpoint-lab/src/iax2.rs
+++ b/crates/lockpoint-lab/src/iax2.rs
@@ -253,15 +253,15 @@
 
 impl IaxServer {
     /// Starts a call server on a free port, behind a path without faults.
-    pub async fn start(log: &EventLog, name: &str, does: ServerBehaviour) -> Rc<IaxServer> {
-        IaxServer::start_on_path(log, name, does, PathConfig::default(), 1).await
+    pub async fn start(log: &EventLog, name: &str, behaviour: ServerBehaviour) -> Rc<IaxServer> {
+        IaxServer::start_on_path(log, name, behaviour, PathConfig::default(), 1).await
     }
 
     /// Starts a call server on a free port behind a path.
     pub async fn start_on_path(
         log: &EventLog,
         name: &str,
-        does: ServerBehaviour,
+        behaviour: ServerBehaviour,
         path: PathConfig,
         seed: u64,
     ) -> Rc<IaxServer> {
@@ -269,7 +269,7 @@
         let server = Rc::new(IaxServer {
             name: name.to_owned(),
             at: endpoint.socket.local_addr().expect("the local address"),
-            behaviour: RefCell::new(does),
+            behaviour: RefCell::new(behaviour),
             silent: Cell::new(false),
             token_check: RefCell::new(Door::new(TokenPolicy::Off, [5; 32])),
             authenticator: RefCell::default(),
@@ -299,7 +299,7 @@
 
     fn is_silent(&self) -> bool {
         self.silent.get()
-            || matches!(&*self.behaviour.borrow(), ServerBehaviour::Model(machine) if machine.silent())
+            || matches!(&*self.behaviour.borrow(), ServerBehaviour::Model(model) if model.silent())
     }
 
     /// Records what the controller's frame means for a call, before the path can lose it.
@@ -357,13 +357,13 @@
                     self.endpoint.number_of.borrow_mut().insert(sid.clone(), no);
                     self.endpoint.arm(no);
                     if let Some(authenticator) = &mut *self.authenticator.borrow_mut() {
-                        let (elements, challenges) =
+                        let (elements, challenge) =
                             authenticator.challenge(new.elements.text(ie::USERNAME).unwrap_or_default());
-                        self.challenges.borrow_mut().insert(no, challenges);
+                        self.challenges.borrow_mut().insert(no, challenge);
                         return self.endpoint.send_frame(no, Kind::Iax(Iax::AuthReq), elements);
                     }
-                    let does = self.behaviour.borrow().clone();
-                    self.respond(no, &sid, does);
+                    let behaviour = self.behaviour.borrow().clone();
+                    self.respond(no, &sid, behaviour);
                 }
             }
             Some(LegEvent::Frame(no, frame))
@@ -372,39 +372,40 @@
                 self.registration(no, &frame);
             }
             Some(LegEvent::Frame(no, frame)) if frame.kind == Kind::Iax(Iax::AuthRep) => {
-                let Some(challenges) = self.challenges.borrow_mut().remove(&no) else { return };
-                let checked = self.authenticator.borrow_mut().as_mut().map(|authenticator| {
-                    authenticator.verify(from.ip(), &challenges, &frame.elements, now())
-                });
-                let does = match checked {
+                let Some(challenge) = self.challenges.borrow_mut().remove(&no) else { return };
+                let checked =
+                    self.authenticator.borrow_mut().as_mut().map(|authenticator| {
+                        authenticator.verify(from.ip(), &challenge, &frame.elements, now())
+                    });
+                let behaviour = match checked {
                     Some(Err(_)) => ServerBehaviour::Refuse(21, String::new()),
                     _ => self.behaviour.borrow().clone(),
                 };
-                self.respond(no, &sid_of(&self.endpoint, no), does);
+                self.respond(no, &sid_of(&self.endpoint, no), behaviour);
             }
             Some(LegEvent::Frame(no, frame)) if frame.kind == Kind::Iax(Iax::Hangup) => {
                 let sid = self.endpoint.legs.borrow().owner(no).cloned();
                 self.endpoint.legs.borrow_mut().end(no, now());
                 self.endpoint.arm(no);
-                if let (Some(sid), ServerBehaviour::Model(machine)) = (sid, &*self.behaviour.borrow()) {
-                    machine.end_call(&sid);
+                if let (Some(sid), ServerBehaviour::Model(model)) = (sid, &*self.behaviour.borrow()) {
+                    model.end_call(&sid);
                 }
             }
             _ => {}
         }
     }
 
-    fn respond(self: &Rc<Self>, no: u16, sid: &str, does: ServerBehaviour) {
-        match does {
+    fn respond(self: &Rc<Self>, no: u16, sid: &str, behaviour: ServerBehaviour) {
+        match behaviour {
             ServerBehaviour::Answer(description) => self.answer(no, sid, &description),
             ServerBehaviour::Refuse(code, _) => {
                 self.log.record(&self.name, sid, EventKind::Refused);
                 self.endpoint.hang_up(no, Iax::Reject, cause(code));
             }
             ServerBehaviour::Silent | ServerBehaviour::Raw(_) => {}
-            ServerBehaviour::Model(machine) => {
+            ServerBehaviour::Model(model) => {
                 let (server, name) = (self.clone(), sid.to_owned());
-                machine.handle_set_up(sid, move |event| server.send_model_event(no, &name, event));
+                model.handle_set_up(sid, move |event| server.send_model_event(no, &name, event));
             }
         }
     }
@@ -494,9 +495,9 @@
 
     /// Ends the process: it is silent and its calls are lost.
     pub fn die(&self) {
-        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
-            machine.clear_calls();
-            machine.set_silent(true);
+        if let ServerBehaviour::Model(model) = &*self.behaviour.borrow() {
+            model.clear_calls();
+            model.set_silent(true);
         }
         self.established.borrow_mut().clear();
         self.releasing.borrow_mut().clear();
@@ -506,8 +507,8 @@
 
     /// Restarts the process, cold.
     pub fn restart(&self) {
-        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
-            machine.restart();
+        if let ServerBehaviour::Model(model) = &*self.behaviour.borrow() {
+            model.restart();
         }
     }
 }
@@ -570,13 +571,13 @@
     fn sent(&self, frame: &Frame) {
         let Some(sid) = self.sids.borrow().get(&frame.dest).cloned() else { return };
         // An INVAL in reply to a NEW is a refusal; later it concerns only the leg.
-        let event = match frame.kind {
+        let is_recorded = match frame.kind {
             Kind::Iax(Iax::Accept | Iax::Reject | Iax::Hangup) | Kind::Control(Control::Answer) => true,
             Kind::Iax(Iax::Inval) => !self.recorded_frames.borrow().contains_key(&frame.dest),
             _ => false,
         };
         let place = (frame.oseq, frame.timestamp);
-        if !event || !self.recorded_frames.borrow_mut().entry(frame.dest).or_default().insert(place) {
+        if !is_recorded || !self.recorded_frames.borrow_mut().entry(frame.dest).or_default().insert(place) {
             return;
         }
         match frame.kind {
--- a/crates/lockpoint-lab/src/lib.rs
+++ b/crates/lockpoint-lab/src/lib.rs
@@ -1,9 +1,9 @@
-//! lockpoint's laboratory: stand-ins for all that a controller talks to, experiments with them, and a checker that
-//! counts the rules from what the stand-ins saw.
+//! lockpoint's laboratory: simulated callers, call servers and directories, experiments with them, and a checker that
+//! verifies the controller's rules from the events at these simulated peers.
 //!
-//! What decides (a processor, a datagram path, the callers' arrivals, the checker) knows no socket and reads no clock.
-//! The stand-ins put it on loopback sockets, on ports that the system picks unless an address is given. All of them run
-//! on one thread, in a `LocalSet`.
+//! The models (a processor, a datagram path, the callers' arrivals) and the checker use no socket and read no clock. The
+//! simulated peers connect them to loopback sockets, on free ports unless an address is given. They all run on one
+//! thread, in a `LocalSet`.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/lockpoint-lab/src/main.rs
+++ b/crates/lockpoint-lab/src/main.rs
@@ -26,67 +26,69 @@
 
 #[derive(Debug, Subcommand)]
 enum Commands {
-    /// Run an experiment; leaves a table, a summary and a chart. Exit code 1: a rule was broken.
+    /// Run an experiment and write a table, a summary and a chart. Exit code 1: a rule was broken.
     Run {
-        /// The experiment.
+        /// The experiment file.
         file: PathBuf,
-        /// Where the results go.
+        /// The directory for the results.
         #[arg(long)]
         out: PathBuf,
-        /// The program under test; the one beside this one where it is not said.
+        /// The program under test; by default the `lockpoint` in this program's directory.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Another seed than the file's.
+        /// A seed that replaces the one in the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// Print a line a second.
+        /// Print one line per second.
         #[arg(long)]
         live: bool,
-        /// Write down here all that the stand-ins see.
+        /// Write all events at the simulated peers to this file.
         #[arg(long)]
         trace: Option<PathBuf>,
     },
-    /// Start an agent with an operator's file, put stand-ins around it and place calls on both protocols.
+    /// Start an agent with an operator's file and simulated peers, and place calls over both protocols.
     Demo {
-        /// The operator's file; its first instance is called.
+        /// The operator's file; callers connect to its first instance.
         #[arg(long)]
         config: PathBuf,
-        /// Where the results go.
+        /// The directory for the results.
         #[arg(long)]
         out: PathBuf,
-        /// Seconds at 80% of what the call servers bear, then as many at 120%.
+        /// Seconds at 80% of the call servers' capacity, then as many at 120%.
         #[arg(long, default_value_t = 20.0)]
         seconds: f64,
     },
-    /// Run the controller and a bare relay in turn: set-ups a second, latency, memory of a call.
+    /// Compare the controller with a minimal relay: set-ups per second, latency and memory per call.
     Bench(bench::Options),
-    /// Measure how stale fleet-wide verdicts are under seeded faults; ends with `N passed, N failed`.
+    /// Measure the staleness of fleet-wide observations under seeded faults; ends with `N passed, N failed`.
     FleetLimits(limits::Options),
-    /// Hold what the whole fleet sends a cold call server against its budget; ends with `N passed, N failed`.
+    /// Compare the fleet's set-ups to a cold call server with its budget; ends with `N passed, N failed`.
     ColdBudget(cold_budget::Options),
     /// Measure the control traffic of a large fleet under faults; ends with `N passed, N failed`.
     Scale(scale::Options),
-    /// Power losses of real controllers.
+    /// Test the recovery of real controllers from power losses.
     #[command(subcommand)]
     Crash(crash::Crash),
-    /// The bare relay that `bench` compares with: two sockets, no decisions.
+    /// The minimal relay that `bench` compares with: two sockets, no decisions.
     #[command(hide = true)]
     Relay(relay::Options),
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = on_one_thread(async {
+    let result = on_one_thread(async {
         match cli.command {
             Commands::Run { file, out, program, seed, live, trace } => {
                 let mut experiment = Experiment::from_file(&file)?;
                 experiment.seed = seed.unwrap_or(experiment.seed);
                 let program = program.unwrap_or_else(|| sibling_program("lockpoint"));
                 let trace = trace.map(|file| File::create(&file).map_err(|e| LabError::file(&file, e)));
-                let show = OutputOptions { live, trace: trace.transpose()?.map(BufWriter::new) };
-                shown(&run(&experiment, &program, show).await?, &out)
+                let output = OutputOptions { live, trace: trace.transpose()?.map(BufWriter::new) };
+                write_results(&run(&experiment, &program, output).await?, &out)
+            }
+            Commands::Demo { config, out, seconds } => {
+                write_results(&demo::run(&config, seconds).await?, &out)
             }
-            Commands::Demo { config, out, seconds } => shown(&demo::run(&config, seconds).await?, &out),
             Commands::Bench(options) => bench::run(&options).await.map(|()| true),
             Commands::FleetLimits(options) => limits::run(&options).await,
             Commands::ColdBudget(options) => cold_budget::run(&options),
@@ -95,7 +97,7 @@
             Commands::Relay(options) => relay::run(&options).await.map(|()| true),
         }
     });
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -105,7 +107,7 @@
     }
 }
 
-fn shown(outcome: &Outcome, out: &std::path::Path) -> Result<bool, LabError> {
+fn write_results(outcome: &Outcome, out: &std::path::Path) -> Result<bool, LabError> {
     outcome.write(out)?;
     println!("{}", outcome.summary());
     println!("{} holds seconds.csv, summary.md and chart.svg", out.display());
--- a/crates/lockpoint-lab/src/results.rs
+++ b/crates/lockpoint-lab/src/results.rs
@@ -1,4 +1,4 @@
-//! What an experiment leaves: a table by seconds (CSV), a summary (Markdown) and a chart (SVG).
+//! The results of an experiment: a table by seconds (CSV), a summary (Markdown) and a chart (SVG).
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -10,22 +10,22 @@
 use crate::audit::{Counts, Rule};
 use crate::under_test::{LabError, ResourceUsage};
 
-/// Longest latency that is told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+/// The largest latency that the histograms distinguish, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Latencies in microseconds.
+/// An empty histogram of latencies in microseconds.
 pub fn latency_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 3).unwrap_or_else(|_| unreachable!("good bounds"))
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).unwrap_or_else(|_| unreachable!("the bounds are valid"))
 }
 
-/// A latency at a share of the calls, in milliseconds.
+/// A quantile of the latencies, in milliseconds.
 pub fn quantile_ms(latency_histogram: &Histogram<u64>, share: f64) -> f64 {
     latency_histogram.value_at_quantile(share) as f64 / 1000.0
 }
 
 /// One second of an experiment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-#[allow(missing_docs)] // the names say it; times are milliseconds, memory is MiB
+#[allow(missing_docs)] // the fields are the table's columns; times are milliseconds, memory is MiB
 pub struct Second {
     pub second: u64,
     pub asked_json: u64,
@@ -44,59 +44,59 @@
     pub memory_mib: f64,
 }
 
-/// What one protocol's callers saw.
+/// The results of one protocol's callers.
 #[derive(Debug, Clone)]
 pub struct ProtocolResults {
     /// `json` or `iax2`.
     pub name: &'static str,
-    /// Set-ups asked for, calls that stood, those that stood within the aim.
+    /// Set-ups requested.
     pub asked: u64,
-    /// Calls that stood.
+    /// Calls established.
     pub stood: u64,
-    /// Those within the aim.
+    /// Calls established within the set-up time target.
     pub in_aim: u64,
-    /// From asking to the answer, of those that stood.
+    /// The time from request to answer of the established calls.
     pub latency: Histogram<u64>,
 }
 
 impl ProtocolResults {
-    /// Nothing seen yet.
+    /// Results without any call.
     pub fn new(name: &'static str) -> ProtocolResults {
         ProtocolResults { name, asked: 0, stood: 0, in_aim: 0, latency: latency_histogram() }
     }
 }
 
-/// What an experiment showed.
+/// The results of an experiment.
 #[derive(Debug)]
 pub struct Outcome {
     /// Its title.
     pub name: String,
     /// Its seed.
     pub seed: u64,
-    /// Arrivals a second and capacity, as planned.
+    /// The planned arrival rate per second.
     pub rate: f64,
-    /// Calls a second that the call servers bear.
+    /// The capacity of the call servers, in calls per second.
     pub capacity: f64,
-    /// By seconds.
+    /// The results by second.
     pub seconds: Vec<Second>,
-    /// By the callers' protocol.
+    /// The results by the callers' protocol.
     pub sides: [ProtocolResults; 2],
-    /// What the checker counted.
+    /// The checker's counts.
     pub counts: Counts,
-    /// Forged NEWs that were sent beside.
+    /// The number of forged NEWs sent beside the regular callers.
     pub forged: u64,
-    /// Rules broken: how often, and the first case.
+    /// The broken rules: the number of violations and the first case.
     pub violations: Vec<(Rule, u64, String)>,
-    /// What the process under test used in all.
+    /// The resources that the process under test used in total.
     pub used: ResourceUsage,
-    /// It ended in order when told to.
+    /// Whether the process under test stopped cleanly when told to.
     pub stopped_cleanly: bool,
-    /// What it says of itself, a line an instance.
+    /// The counters that it reports, one line per instance.
     pub counter_lines: Vec<String>,
 }
 
 impl Outcome {
-    /// Whether every rule was kept.
+    /// Whether every rule was kept and the process stopped cleanly.
     pub fn passed(&self) -> bool {
         self.violations.is_empty() && self.stopped_cleanly
     }
@@ -154,7 +154,7 @@
         text
     }
 
-    /// Leaves `seconds.csv`, `summary.md` and `chart.svg` in a folder.
+    /// Writes `seconds.csv`, `summary.md` and `chart.svg` to a directory.
     pub fn write(&self, out: &Path) -> Result<(), LabError> {
         std::fs::create_dir_all(out).map_err(|e| LabError::file(out, e))?;
         let file = out.join("seconds.csv");
@@ -170,9 +170,9 @@
     }
 
     fn chart(&self, file: &Path) -> Result<(), String> {
-        let figure = |e: &dyn std::fmt::Display| e.to_string();
+        let message = |e: &dyn std::fmt::Display| e.to_string();
         let root = SVGBackend::new(file, (900, 720)).into_drawing_area();
-        root.fill(&WHITE).map_err(|e| figure(&e))?;
+        root.fill(&WHITE).map_err(|e| message(&e))?;
         let (top, bottom) = root.split_vertically(400);
         type Line<'a> = (&'a str, RGBColor, fn(&Second) -> f64);
         let calls: [Line; 4] = [
@@ -187,26 +187,26 @@
             [(top, "calls a second", &calls[..]), (bottom, "answer after, ms", &times[..])]
         {
             let values = self.seconds.iter().flat_map(|s| lines.iter().map(move |(_, _, value)| value(s)));
-            let most = values.fold(1.0, f64::max) * 1.1;
+            let max = values.fold(1.0, f64::max) * 1.1;
             let mut chart = ChartBuilder::on(&area)
                 .caption(format!("{}: {title}", self.name), ("sans-serif", 18))
                 .margin(10)
                 .x_label_area_size(30)
                 .y_label_area_size(60)
-                .build_cartesian_2d(0.0..end, 0.0..most)
-                .map_err(|e| figure(&e))?;
-            chart.configure_mesh().x_desc("seconds").draw().map_err(|e| figure(&e))?;
+                .build_cartesian_2d(0.0..end, 0.0..max)
+                .map_err(|e| message(&e))?;
+            chart.configure_mesh().x_desc("seconds").draw().map_err(|e| message(&e))?;
             for (name, colour, value) in lines.iter().copied() {
                 let points = self.seconds.iter().map(|s| (s.second as f64 + 0.5, value(s)));
                 chart
                     .draw_series(LineSeries::new(points, colour))
-                    .map_err(|e| figure(&e))?
+                    .map_err(|e| message(&e))?
                     .label(name)
                     .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
             }
             let mut labels = chart.configure_series_labels();
-            labels.background_style(WHITE).border_style(BLACK).draw().map_err(|e| figure(&e))?;
+            labels.background_style(WHITE).border_style(BLACK).draw().map_err(|e| message(&e))?;
         }
-        root.present().map_err(|e| figure(&e))
+        root.present().map_err(|e| message(&e))
     }
 }
--- a/crates/lockpoint-lab/src/sip.rs
+++ b/crates/lockpoint-lab/src/sip.rs
@@ -74,12 +74,12 @@
 
 impl SipServer {
     /// Starts a call server on a free port.
-    pub async fn start(events: &EventLog, name: &str, does: ServerBehaviour) -> Rc<SipServer> {
+    pub async fn start(events: &EventLog, name: &str, behaviour: ServerBehaviour) -> Rc<SipServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let server = Rc::new(SipServer {
             name: name.to_owned(),
             at: listener.local_addr().expect("the local address"),
-            behaviour: RefCell::new(does),
+            behaviour: RefCell::new(behaviour),
             pieces: Cell::new(0),
             events: events.clone(),
             connections: RefCell::default(),
@@ -107,7 +107,7 @@
         self.connections.borrow_mut().retain(|(writer, _)| !writer.is_closed());
         self.connections.borrow_mut().push((writer.clone(), reset.clone()));
         let report = match &*self.behaviour.borrow() {
-            ServerBehaviour::Model(machine) => machine.report(),
+            ServerBehaviour::Model(model) => model.report(),
             // No queue length: a test determines the load through the refusals. An empty queue, reported on a connection
             // that opens late, would revoke the wait of a refusal that the controller has just received.
             _ => "x0:500;x1:500;util:0.1".to_owned(),
@@ -154,9 +154,9 @@
             return;
         };
         let record = |kind| self.events.record(&self.name, &m.call_id, kind);
-        let does = self.behaviour.borrow().clone();
+        let behaviour = self.behaviour.borrow().clone();
         let confirm = || {
-            let silent = matches!(&does, ServerBehaviour::Model(machine) if machine.silent());
+            let silent = matches!(&behaviour, ServerBehaviour::Model(model) if model.silent());
             if !silent {
                 let _ = writer.send(response(200, m, "", ""));
             }
@@ -165,7 +165,7 @@
             "INVITE" => {
                 let body = String::from_utf8_lossy(&m.body).into_owned();
                 record(EventKind::SetUp(m.kind.clone(), m.number.clone(), body));
-                match does {
+                match behaviour {
                     ServerBehaviour::Answer(description) => {
                         record(EventKind::Answered(description.clone()));
                         let _ = writer.send(response(200, m, "", &description));
@@ -178,9 +178,9 @@
                     ServerBehaviour::Raw(text) => {
                         let _ = writer.send(text.replace("{sid}", &m.call_id).into_bytes());
                     }
-                    ServerBehaviour::Model(machine) => {
+                    ServerBehaviour::Model(model) => {
                         let (server, m, writer) = (self.clone(), m.clone(), writer.clone());
-                        machine.handle_set_up(&m.call_id.clone(), move |event| {
+                        model.handle_set_up(&m.call_id.clone(), move |event| {
                             server.send_model_event(&m, &writer, event)
                         });
                     }
@@ -188,15 +188,15 @@
             }
             "CANCEL" => {
                 record(EventKind::Cancel);
-                if let ServerBehaviour::Model(machine) = &does {
-                    machine.end_call(&m.call_id);
+                if let ServerBehaviour::Model(model) = &behaviour {
+                    model.end_call(&m.call_id);
                 }
                 confirm();
             }
             "BYE" => {
                 record(EventKind::Bye(m.cause.unwrap_or(0)));
-                if let ServerBehaviour::Model(machine) = &does {
-                    machine.end_call(&m.call_id);
+                if let ServerBehaviour::Model(model) = &behaviour {
+                    model.end_call(&m.call_id);
                 }
                 confirm();
             }
@@ -293,8 +293,8 @@
         if let Some(listening) = self.listening.take() {
             listening.abort();
         }
-        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
-            machine.clear_calls();
+        if let ServerBehaviour::Model(model) = &*self.behaviour.borrow() {
+            model.clear_calls();
             self.events.record(&self.name, "", EventKind::Died);
         }
         self.queued_messages.borrow_mut().clear();
@@ -304,8 +304,8 @@
 
     /// Restarts the process, cold, at the same address.
     pub async fn restart(self: &Rc<Self>) -> std::io::Result<()> {
-        if let ServerBehaviour::Model(machine) = &*self.behaviour.borrow() {
-            machine.restart();
+        if let ServerBehaviour::Model(model) = &*self.behaviour.borrow() {
+            model.restart();
         }
         self.listen(TcpListener::bind(self.at).await?);
         Ok(())
--- a/crates/lockpoint-lab/src/under_test.rs
+++ b/crates/lockpoint-lab/src/under_test.rs
@@ -1,4 +1,4 @@
-//! The program under test, as a process of its own: started, asked, measured from outside, and ended.
+//! The program under test in its own process: starting, querying, measuring and stopping it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,43 +10,43 @@
 use lockpoint::counters::Counters;
 use tokio::process::Child;
 
-/// How long a program may take until it serves, and until it has ended.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How often it is asked meanwhile.
-const ASK_EVERY: Duration = Duration::from_millis(20);
-/// Ticks of a processor's time a second, as /proc tells them; the kernel's interface fixes it.
-const TICKS: f64 = 100.0;
-/// Bytes of a page, as /proc counts memory.
-const PAGE: u64 = 4_096;
+/// How long a program may take to start serving, and to stop.
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(20);
+/// The interval of status queries meanwhile.
+const QUERY_INTERVAL: Duration = Duration::from_millis(20);
+/// Clock ticks per second of processor time in /proc; the kernel's interface fixes it.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// The page size in which /proc counts memory, in bytes.
+const PAGE_BYTES: u64 = 4_096;
 
-/// A program that cannot be tested.
+/// A failure of the laboratory or of the program under test.
 #[derive(Debug, thiserror::Error)]
 pub enum LabError {
-    /// It cannot be started.
+    /// A program cannot be started.
     #[error("{}: cannot be started: {why}", program.display())]
     Start {
-        /// Which program.
+        /// The program.
         program: PathBuf,
-        /// Why.
+        /// The cause.
         why: io::Error,
     },
-    /// It does not come to serve.
+    /// The controller does not start serving.
     #[error("the controller does not serve: {0}")]
     NotServing(String),
-    /// A file of the laboratory cannot be read or written.
+    /// A file cannot be read, parsed or written.
     #[error("{}: {why}", file.display())]
     File {
-        /// Which file.
+        /// The file.
         file: PathBuf,
-        /// Why, and at which key.
+        /// The cause, with the key if there is one.
         why: String,
     },
-    /// A socket of a stand-in fails.
+    /// A socket of a simulated peer fails.
     #[error("{what}: {why}")]
     Socket {
-        /// Which.
+        /// The purpose of the socket.
         what: String,
-        /// Why.
+        /// The cause.
         why: io::Error,
     },
 }
@@ -58,30 +58,30 @@
     }
 }
 
-/// What a process has used.
+/// The resources that a process has used.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ResourceUsage {
-    /// Seconds of a processor.
+    /// Processor time, in seconds.
     pub cpu: f64,
-    /// Bytes of memory that it holds.
+    /// Resident memory, in bytes.
     pub memory: u64,
 }
 
-/// What a process has used so far, as the kernel counts it; nothing where it is gone.
+/// The resources that a process has used so far according to /proc; zeros if it has ended.
 pub fn resource_usage(pid: u32) -> ResourceUsage {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name, in brackets, may hold anything; what follows it counts from field 3 on.
+    // The name, in parentheses, may contain any character; the text after it starts with field 3.
     let fields: Vec<&str> = stat.rsplit_once(") ").map_or("", |(_, rest)| rest).split(' ').collect();
     let field = |n: usize| fields.get(n - 3).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
-    ResourceUsage { cpu: (field(14) + field(15)) as f64 / TICKS, memory: field(24) * PAGE }
+    ResourceUsage { cpu: (field(14) + field(15)) as f64 / TICKS_PER_SECOND, memory: field(24) * PAGE_BYTES }
 }
 
-/// The program beside the laboratory's own.
+/// The path of a program in the directory of the running program.
 pub fn sibling_program(name: &str) -> PathBuf {
     std::env::current_exe().ok().and_then(|me| Some(me.parent()?.join(name))).unwrap_or_else(|| name.into())
 }
 
-/// Starts a program that ends with us.
+/// Starts a program that is killed when its handle is dropped.
 pub fn spawn(program: &Path, args: &[&str], quiet: bool) -> Result<Child, LabError> {
     let stderr = if quiet { Stdio::null() } else { Stdio::inherit() };
     tokio::process::Command::new(program)
@@ -94,18 +94,18 @@
         .map_err(|why| LabError::Start { program: program.to_owned(), why })
 }
 
-/// A folder of its own for one run; removed at its end.
+/// A temporary directory, removed on drop.
 #[derive(Debug)]
 pub struct TempDir(PathBuf);
 
 impl TempDir {
-    /// Makes one.
+    /// Creates a directory.
     pub fn new(name: &str) -> Result<TempDir, LabError> {
         let path = std::env::temp_dir().join(format!("lockpoint-lab-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|e| LabError::file(&path, e))?;
         Ok(TempDir(path))
     }
-    /// Where it is.
+    /// Its path.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -122,12 +122,12 @@
 pub struct Agent {
     child: Child,
     control: PathBuf,
-    /// Its process.
+    /// Its process id.
     pub pid: u32,
 }
 
 impl Agent {
-    /// Starts an agent with an operator's file whose `control` is `control`.
+    /// Starts an agent with the operator's file `config`, whose `control` entry is `control`.
     pub fn start(program: &Path, config: &Path, control: &Path, quiet: bool) -> Result<Agent, LabError> {
         let child = spawn(program, &["agent", "--config", &config.to_string_lossy()], quiet)?;
         let pid = child.id().unwrap_or(0);
@@ -139,23 +139,23 @@
         ask(&self.control, &request).await.map_err(|e| LabError::NotServing(e.to_string()))
     }
 
-    /// Its instances, once `ready` says so of all of them.
+    /// Waits until `ready` holds for all instances and returns their status.
     pub async fn wait_until(
         &mut self,
         ready: impl Fn(&InstanceStatus) -> bool,
     ) -> Result<Vec<InstanceStatus>, LabError> {
-        let mut why = "it says nothing".to_owned();
-        let until = tokio::time::Instant::now() + PATIENCE;
+        let mut why = "it did not answer".to_owned();
+        let until = tokio::time::Instant::now() + START_STOP_TIMEOUT;
         while tokio::time::Instant::now() < until {
             if let Ok(Some(ended)) = self.child.try_wait() {
                 return Err(LabError::NotServing(format!("it has ended ({ended})")));
             }
             match self.ask(Command::Status).await {
                 Ok(Reply::Status { instances }) if instances.iter().all(&ready) => return Ok(instances),
-                Ok(reply) => why = format!("last it said {reply:?}"),
+                Ok(reply) => why = format!("its last answer was {reply:?}"),
                 Err(error) => why = error.to_string(),
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(QUERY_INTERVAL).await;
         }
         Err(LabError::NotServing(why))
     }
@@ -166,26 +166,26 @@
         instances.into_iter().filter_map(|value| serde_json::from_value(value).ok()).collect()
     }
 
-    /// What it has used.
+    /// The resources that it has used.
     pub fn used(&self) -> ResourceUsage {
         resource_usage(self.pid)
     }
 
-    /// Ends it at once.
+    /// Kills it.
     pub async fn kill(mut self) {
         let _ = self.child.kill().await;
     }
 
-    /// Tells it to finish and waits for its end. `true`: it ended in order.
+    /// Stops it and waits for its end; returns whether it exited successfully.
     pub async fn stop(mut self) -> bool {
         let _ = self.ask(Command::Stop).await;
-        let ended = tokio::time::timeout(PATIENCE, self.child.wait()).await;
+        let ended = tokio::time::timeout(START_STOP_TIMEOUT, self.child.wait()).await;
         matches!(ended, Ok(Ok(status)) if status.success())
     }
 }
 
-/// The address in a status line.
+/// The address in a status entry.
 pub fn address(text: &Option<String>, key: &str) -> Result<SocketAddr, LabError> {
     let parsed = text.as_deref().and_then(|text| text.parse().ok());
-    parsed.ok_or_else(|| LabError::NotServing(format!("it does not listen at '{key}'")))
+    parsed.ok_or_else(|| LabError::NotServing(format!("its status has no valid address '{key}'")))
 }
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -1,4 +1,5 @@
-//! The laboratory in the small: a real agent, both protocols, a bad path and faults, counted by the checker.
+//! A short laboratory experiment: a real agent, both protocols, a faulty datagram path and faults of call servers, verified
+//! by the checker.
 
 use std::path::Path;
 
@@ -28,24 +29,25 @@
 "#;
 
 #[test]
-fn an_agent_under_load_loss_and_faults_keeps_every_rule_and_leaves_its_results() {
-    let experiment = Experiment::parse(EXPERIMENT).expect("a good experiment");
+fn an_agent_under_load_loss_and_faults_keeps_every_rule_and_the_results_are_written() {
+    let experiment = Experiment::parse(EXPERIMENT).expect("a valid experiment");
     let program = Path::new(env!("CARGO_BIN_EXE_lockpoint"));
-    let outcome = on_one_thread(run(&experiment, program, OutputOptions::default())).expect("it runs");
+    let outcome =
+        on_one_thread(run(&experiment, program, OutputOptions::default())).expect("the experiment runs");
     assert!(
         outcome.passed(),
-        "seed {}: {:?}, ended {}",
+        "seed {}: violations {:?}, stopped cleanly {}",
         outcome.seed,
         outcome.violations,
         outcome.stopped_cleanly
     );
     for side in &outcome.sides {
-        assert!(side.stood > 100, "{}: {} of {} stood", side.name, side.stood, side.asked);
+        assert!(side.stood > 100, "{}: {} of {} calls were established", side.name, side.stood, side.asked);
     }
     let out = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("lab");
-    outcome.write(&out).expect("written");
-    let table = std::fs::read_to_string(out.join("seconds.csv")).expect("a table");
+    outcome.write(&out).expect("the results are written");
+    let table = std::fs::read_to_string(out.join("seconds.csv")).expect("the table exists");
     assert_eq!(table.lines().count(), outcome.seconds.len() + 1);
-    let chart = std::fs::read_to_string(out.join("chart.svg")).expect("a chart");
+    let chart = std::fs::read_to_string(out.join("chart.svg")).expect("the chart exists");
     assert!(chart.contains("<polyline") && chart.contains("calls a second"));
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! An hour of the laboratory's load on its own clock: what the core holds must not swell with the calls that have ended.
-//! Alone in its process, so that no other test's memory counts.
+//! One simulated hour of load: the memory of the core must not grow with the number of ended calls. The test is alone in
+//! its process, so that no other test's memory counts.
 
 use lockpoint::interface::Span;
 use lockpoint_lab::fleet::driven::{Driven, DrivenConfig};
@@ -7,26 +7,26 @@
 
 const SEED: u64 = 19;
 const SERVERS: u16 = 3;
-/// Calls a second that the call servers bear together; a tenth more is asked for.
-const BEARS: f64 = 30.0;
-/// The first minutes fill what is held for good; what grows after them is counted.
-const FILLED: Span = Span::from_millis(600_000);
+/// The capacity of all call servers together, in calls per second; the load is a tenth higher.
+const CAPACITY: f64 = 30.0;
+/// Memory is compared with its size at this time, when permanent data structures have been filled.
+const WARM_UP: Span = Span::from_millis(600_000);
 const HOUR: Span = Span::from_millis(3_600_000);
-/// Bytes by which the process may grow from then on.
-const MAY_GROW: u64 = 2 << 20;
+/// The maximum growth of the process after that, in bytes.
+const MAX_GROWTH_BYTES: u64 = 2 << 20;
 
-/// Bytes of memory that this process holds.
-fn resident() -> u64 {
-    let statm = std::fs::read_to_string("/proc/self/statm").expect("the kernel's count");
-    let pages: u64 = statm.split(' ').nth(1).and_then(|n| n.parse().ok()).expect("pages");
+/// The resident memory of this process, in bytes.
+fn resident_bytes() -> u64 {
+    let statm = std::fs::read_to_string("/proc/self/statm").expect("/proc/self/statm is readable");
+    let pages: u64 = statm.split(' ').nth(1).and_then(|n| n.parse().ok()).expect("a number of pages");
     pages * 4_096
 }
 
 #[test]
-fn an_hour_of_load_at_110_percent_does_not_swell_the_core() {
+fn memory_does_not_grow_in_an_hour_of_load_at_110_percent() {
     println!("seed {SEED}");
-    let processor = ProcessorConfig { capacity: BEARS / f64::from(SERVERS), ..ProcessorConfig::default() };
-    let mut world = Driven::new(DrivenConfig {
+    let processor = ProcessorConfig { capacity: CAPACITY / f64::from(SERVERS), ..ProcessorConfig::default() };
+    let mut simulation = Driven::new(DrivenConfig {
         controllers: 1,
         servers: SERVERS,
         processor,
@@ -34,17 +34,17 @@
         seed: SEED,
         ..DrivenConfig::default()
     });
-    world.pass(FILLED);
-    let filled = resident();
-    world.pass(HOUR.saturating_sub(FILLED));
-    let grew = resident().saturating_sub(filled);
+    simulation.pass(WARM_UP);
+    let bytes_before = resident_bytes();
+    simulation.pass(HOUR.saturating_sub(WARM_UP));
+    let growth = resident_bytes().saturating_sub(bytes_before);
     println!(
-        "stood {} refused {} grew {grew} bytes from {filled}",
-        world.tally.stood, world.tally.turned_away
+        "stood {} refused {} grew {growth} bytes from {bytes_before}",
+        simulation.tally.stood, simulation.tally.turned_away
     );
-    // The load was there: an hour of what the call servers bear, less what turning away costs.
-    assert!(world.tally.stood > (BEARS * 3_600.0 * 0.75) as u64, "stood {}", world.tally.stood);
-    assert!(world.tally.turned_away > 1_000, "refused {}", world.tally.turned_away);
-    assert!(grew <= MAY_GROW, "grew {grew} bytes from {filled}");
-    assert!(world.open_calls(0) < 500, "open {}", world.open_calls(0));
+    // The load was applied: an hour at the call servers' capacity, less the work of rejections.
+    assert!(simulation.tally.stood > (CAPACITY * 3_600.0 * 0.75) as u64, "stood {}", simulation.tally.stood);
+    assert!(simulation.tally.turned_away > 1_000, "refused {}", simulation.tally.turned_away);
+    assert!(growth <= MAX_GROWTH_BYTES, "grew {growth} bytes from {bytes_before}");
+    assert!(simulation.open_calls(0) < 500, "open {}", simulation.open_calls(0));
 }
