--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -10,7 +10,10 @@
 
 use rstest::rstest;
 use serde_json::{json, Value};
-use support::{host, in_time, name, on_one_thread, settings, Bulletin, Caller, Does, SipServer, What, World};
+use support::{
+    in_time, list_entry, name, on_one_thread, settings, Bulletin, Caller, EventKind, EventLog,
+    ServerBehaviour, SipServer,
+};
 
 /// The program with a configuration of the platform, and a thread that reads its log.
 struct Program {
@@ -85,7 +88,7 @@
     listener.local_addr().expect("the socket is bound").to_string()
 }
 
-async fn connect(world: &World, address: &str) -> Caller {
+async fn connect(world: &EventLog, address: &str) -> Caller {
     in_time("the program listens", async {
         loop {
             match Caller::try_connect(world, "c", address.parse().expect("a valid address")).await {
@@ -98,13 +101,13 @@
 }
 
 /// Waits until a call is established; the calls are numbered from `n`.
-async fn establish_call(world: &World, caller: &Caller, n: u64) {
+async fn establish_call(world: &EventLog, caller: &Caller, n: u64) {
     in_time("a call is established", async {
         let mut n = n;
         loop {
             caller.open(&name(n), 2_000, 0, "x").await;
-            match world.answer(&name(n)).await.what {
-                What::Ready(_) => return,
+            match world.final_answer(&name(n)).await.kind {
+                EventKind::Ready(_) => return,
                 _ => n += 1, // the program has no list yet
             }
         }
@@ -121,15 +124,15 @@
     {"host": "s0", "dial": "nowhere", "health": "gone"}]}}), "event 2: a line")]
 fn a_malformed_list_is_logged_in_one_line(#[case] test: &str, #[case] malformed: Value, #[case] why: &str) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".into())).await;
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         let (listen, at) = (free_address(), bulletin.at.to_string());
         let mut program = Program::start(test, &listen, &at);
         let caller = connect(&world, &listen).await;
         establish_call(&world, &caller, 1).await;
-        bulletin.tell_raw(malformed);
+        bulletin.publish_raw(malformed);
         program.wait_for_log(&["failing", "party=\"bulletin\"", &at, "follows its event 1", why]).await;
         program.wait_for_log(&["unreadable entries skipped; the known list stays", why]).await;
         establish_call(&world, &caller, 100).await;
@@ -142,15 +145,15 @@
 #[test]
 fn a_malformed_sip_message_is_logged_in_one_line() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".into())).await;
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         let listen = free_address();
         let mut program = Program::start("answer", &listen, &bulletin.at.to_string());
         let caller = connect(&world, &listen).await;
         establish_call(&world, &caller, 1).await;
-        server.say(b"SIP/2.0 OK 200\r\nContent-Length: nine\r\n\r\n");
+        server.send(b"SIP/2.0 OK 200\r\nContent-Length: nine\r\n\r\n");
         let at = server.at.to_string();
         program.wait_for_log(&["failing", "party=\"call server's messages\"", &at, "message"]).await;
         establish_call(&world, &caller, 100).await;
@@ -171,10 +174,10 @@
 #[case::unknown_word("classes", json!([{"name": "judge-call", "goal-time-us": 1, "worth": 1, "semantics": "at_times"}]), "settings.classes[0].semantics")]
 fn an_invalid_setting_is_logged_in_one_line(#[case] key: &str, #[case] value: Value, #[case] named: &str) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start(&world).await;
-        let server = SipServer::start(&world, "s0", Does::Answer("a".into())).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        let server = SipServer::start(&world, "s0", ServerBehaviour::Answer("a".into())).await;
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         let (listen, at) = (free_address(), bulletin.at.to_string());
         let mut program =
             Program::start(&format!("{key}-{}", named.replace(['[', ']', '.'], "-")), &listen, &at);
--- a/tests/bad_peers.rs
+++ b/tests/bad_peers.rs
@@ -5,10 +5,13 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use support::{host, name, on_one_thread, Break, Caller, Controller, Does, Seen, What, World};
+use support::{
+    list_entry, name, on_one_thread, Caller, Controller, EventKind, EventLog, RecordedEvent, ResponseFault,
+    ServerBehaviour,
+};
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
 /// A malformed response must not leave its own call, or others on its connection, waiting.
@@ -25,17 +28,19 @@
 #[case::incomplete_header("SIP/2.0 200 OK\r\nCall-ID: {sid}\r\nCSe")]
 fn malformed_response_ends_its_connection_and_the_call_is_established_elsewhere(#[case] malformed: &str) {
     on_one_thread(async {
-        let world = World::default();
-        let does = [Does::Say(malformed.to_owned()), answers("b")];
+        let world = EventLog::default();
+        let does = [ServerBehaviour::Raw(malformed.to_owned()), answers("b")];
         let (controller, servers, _) = Controller::with_servers(&world, &does).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        let first = world.until("the set-up", |s| s.who == "s0" && matches!(s.what, What::SetUp(..))).await;
+        let first = world
+            .wait_for("the set-up", |s| s.source == "s0" && matches!(s.kind, EventKind::SetUp(..)))
+            .await;
         assert_eq!(first.sid, name(1));
         // From now on it answers correctly.
-        *servers[0].does.borrow_mut() = answers("a");
-        let answer = world.answer(&name(1)).await;
-        assert!(matches!(answer.what, What::Ready(_)), "{answer:?}");
+        *servers[0].behaviour.borrow_mut() = answers("a");
+        let answer = world.final_answer(&name(1)).await;
+        assert!(matches!(answer.kind, EventKind::Ready(_)), "{answer:?}");
         let took = answer.at - first.at;
         assert!(
             took >= Duration::from_millis(500),
@@ -54,15 +59,15 @@
 #[test]
 fn resets_of_idle_connections_cost_no_calls() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, _) = Controller::with_servers(&world, &[answers("a")]).await;
         let caller = Caller::connect(&world, "c", controller.at).await;
         for n in 1..=20 {
             let before = controller.instance.counters().connected;
-            servers[0].reset();
+            servers[0].reset_connections();
             controller.wait_for("a new connection is open", |i| i.counters().connected > before).await;
             caller.open(&name(n), 9_000, 0, "x").await;
-            assert_eq!(world.answer(&name(n)).await.what, What::Ready("a".into()));
+            assert_eq!(world.final_answer(&name(n)).await.kind, EventKind::Ready("a".into()));
         }
         assert_eq!(controller.instance.counters().standing, 20);
     });
@@ -70,18 +75,18 @@
 
 /// A drain must not be noticed late because the bulletin breaks off, or stalls, while it is sent.
 #[rstest]
-#[case::breaks_off(Break::Off)]
-#[case::stalls(Break::Stall)]
-#[case::dribbles(Break::Dribble)]
-fn interrupted_bulletin_response_is_requested_again_in_time(#[case] how: Break) {
+#[case::breaks_off(ResponseFault::Truncate)]
+#[case::stalls(ResponseFault::Stall)]
+#[case::dribbles(ResponseFault::Trickle)]
+fn interrupted_bulletin_response_is_requested_again_in_time(#[case] how: ResponseFault) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (controller, servers, bulletin) =
             Controller::with_servers(&world, &[answers("a"), answers("b")]).await;
-        bulletin.breaks.set(Some(how));
-        bulletin.tell(false, vec![host("s0", servers[0].at, 0, "draining")]);
-        let told = |s: &Seen| matches!(s.what, What::Told(_));
-        let told = world.until_all("the bulletin has sent it", 2, told).await[1].at;
+        bulletin.response_fault.set(Some(how));
+        bulletin.publish(false, vec![list_entry("s0", servers[0].at, 0, "draining")]);
+        let told = |s: &RecordedEvent| matches!(s.kind, EventKind::Told(_));
+        let told = world.wait_for_count("the bulletin has sent it", 2, told).await[1].at;
         let drains = |i: &lockpoint::instance::Instance| {
             i.servers().iter().any(|l| l.state == lockpoint::interface::ServerState::Draining)
         };
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -15,18 +15,20 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 use support::iax2::{Resolver, SERVICE};
-use support::{config, in_time, name, on_one_thread, Caller, Controller, ScriptedServer, Seen, What, World};
+use support::{
+    config, in_time, name, on_one_thread, Caller, Controller, EventKind, EventLog, Hand, RecordedEvent,
+};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
 const RESEND_DELAY: Duration = Duration::from_millis(500);
 
-fn received(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && seen.what == what
+fn received(sid: &str, what: EventKind) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && seen.kind == what
 }
 
-fn final_messages(world: &World, sid: &str) -> usize {
-    world.count(|s| s.sid == sid && matches!(s.what, What::Ready(_) | What::Close(..)))
+fn final_messages(world: &EventLog, sid: &str) -> usize {
+    world.count(|s| s.sid == sid && matches!(s.kind, EventKind::Ready(_) | EventKind::Close(..)))
 }
 
 // ---- Shutdown ------------------------------------------------------------------------------------------------
@@ -35,7 +37,7 @@
 #[test]
 fn sigterm_waits_for_the_answer_to_an_outstanding_set_up() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -45,7 +47,7 @@
         controller.ask_to_stop();
         controller.wait_for("the controller is stopping", |i| i.stopping()).await;
         connection.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.completed, final_messages(&world, &name(1))), (0, 1, 1));
     });
@@ -56,7 +58,7 @@
 #[test]
 fn sigterm_waits_for_a_call_in_its_resend_delay() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -70,7 +72,7 @@
         connection.expect_request("INVITE").await;
         assert!(reset.elapsed() >= RESEND_DELAY, "after {:?}", reset.elapsed());
         connection.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.attempts, final_messages(&world, &name(1))), (0, 2, 1));
     });
@@ -80,7 +82,7 @@
 #[test]
 fn sigterm_waits_for_a_set_up_queued_on_a_pending_connection() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (server, fill) = ScriptedServer::with_full_backlog("s0").await;
         let long_timeout = |config: &mut lockpoint::config::InstanceConfig| {
             config.connect_timeout = Span::from_millis(60_000);
@@ -104,7 +106,7 @@
                 _ => kept.push(connection),
             }
         }
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.stop().await;
         assert_eq!((counters.open, counters.attempts, final_messages(&world, &name(1))), (0, 1, 1));
     });
@@ -115,7 +117,7 @@
 #[test]
 fn sigterm_refuses_new_client_connections() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -138,7 +140,7 @@
         in_time("a late client connection is refused", refused).await;
         assert_eq!(controller.instance.counters().open, 1, "the accepted call is still pending");
         connection.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         controller.stop().await;
     });
 }
@@ -148,7 +150,7 @@
 #[test]
 fn a_hang_up_that_crosses_the_close_at_sigterm_reaches_the_call_server() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -188,7 +190,7 @@
     #[values(CloseReason::NothingReceived, CloseReason::Idle, CloseReason::Sigterm)] closes: CloseReason,
 ) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -221,7 +223,7 @@
             again.open(&name(2), 9_000, 0, "x").await;
             assert_eq!(connection.expect_request("INVITE").await, name(2));
             connection.answers(&name(2), "y").await;
-            assert_eq!(world.answer(&name(2)).await.what, What::Ready("y".into()));
+            assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("y".into()));
             taken = 1;
         }
         drop(crossed);
@@ -238,7 +240,7 @@
 #[test]
 fn sigterm_answers_a_partially_received_set_up() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -272,7 +274,7 @@
 #[test]
 fn sigterm_does_not_wait_for_a_cancelled_call() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -310,7 +312,7 @@
     closes: ServerClose,
 ) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -340,7 +342,7 @@
         let closed = Instant::now();
         let mut next = server.accept_ready().await;
         if matches!(closes, ServerClose::Answered) {
-            assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+            assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
             assert_eq!(controller.instance.counters().attempts, 1);
             return;
         }
@@ -348,7 +350,7 @@
         assert_eq!(next.expect_request("INVITE").await, name(1));
         assert!(closed.elapsed() >= RESEND_DELAY - Duration::from_millis(20), "after {:?}", closed.elapsed());
         next.answers(&name(1), "z").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("z".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("z".into()));
         assert_eq!((controller.instance.counters().attempts, final_messages(&world, &name(1))), (2, 1));
     });
 }
@@ -358,7 +360,7 @@
 #[test]
 fn a_release_lost_with_its_connection_is_sent_again() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -367,7 +369,7 @@
         connection.expect_request("INVITE").await;
         connection.answers(&name(1), "y").await;
         connection.expect_request("ACK").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         caller.close(&name(1), 16).await;
         let mut peeked = [0; 4_096];
         in_time("the BYE has arrived", async {
@@ -677,7 +679,7 @@
             (ScriptedBulletin::start().await, Resolver::start().await, any_address());
         let register = |n: &str| {
             let at = "127.0.0.1:9".parse().expect("an address");
-            resolver.name_server(n, at, 30, &["cell=0".into(), "zone=east".into()]);
+            resolver.add_server(n, at, 30, &["cell=0".into(), "zone=east".into()]);
         };
         register("i0");
         let with = |dns: bool| {
@@ -691,7 +693,7 @@
             |i: &lockpoint::instance::Instance, state| i.servers().iter().any(|l| l.state == state);
         controller.wait_for("the call server is listed", |i| any_in_state(i, ServerState::Ready)).await;
         // The records have a TTL of 30 s: the running watch does not query again before that.
-        resolver.forget_server("i0");
+        resolver.remove_server("i0");
         let mut next = with(watches_on);
         next.bulletin = Some(ScriptedBulletin::start().await.at());
         controller.instance.reload(next);
@@ -710,7 +712,7 @@
 #[test]
 fn a_drain_before_the_send_moves_the_set_up_to_another_call_server() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (chosen, fill) = ScriptedServer::with_full_backlog("s0").await;
         let other = ScriptedServer::start("s1").await;
         let long_timeout = |config: &mut lockpoint::config::InstanceConfig| {
@@ -722,10 +724,10 @@
         let caller = Caller::connect(&world, "c", controller.at).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         controller.wait_for("the attempt has started", |i| i.counters().attempts == 1).await;
-        bulletin.tell(false, vec![chosen.host(0, "draining")]);
+        bulletin.publish(false, vec![chosen.host(0, "draining")]);
         assert_eq!(connection.expect_request("INVITE").await, name(1));
         connection.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         // The connections to the draining call server come up afterwards and carry no set-up.
         let waiting = fill.len();
         drop(fill);
@@ -744,7 +746,7 @@
 #[rstest]
 fn a_late_answer_from_an_abandoned_call_server_is_released(#[values(true, false)] ahead: bool) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (silent, other) = (ScriptedServer::start("s0").await, ScriptedServer::start("s1").await);
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&silent, &other], |_| {}).await;
         let (mut first, mut second) = (silent.accept_ready().await, other.accept_ready().await);
@@ -761,14 +763,14 @@
         );
         if !ahead {
             second.answers(&name(1), "y").await;
-            world.answer(&name(1)).await;
+            world.final_answer(&name(1)).await;
         }
         first.answers(&name(1), "late").await;
         assert_eq!(first.expect_request("BYE").await, name(1));
         if ahead {
             second.answers(&name(1), "y").await;
         }
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let counters = controller.instance.counters();
         assert_eq!((counters.late_answers, counters.standing, final_messages(&world, &name(1))), (1, 1, 1));
     });
@@ -779,7 +781,7 @@
 #[test]
 fn a_release_that_overtakes_the_answer_ends_the_call() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (held_up, other) = (ScriptedServer::start("s0").await, ScriptedServer::start("s1").await);
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&held_up, &other], |_| {}).await;
         let (mut connection, _idle) = (held_up.accept_ready().await, other.accept_ready().await);
@@ -787,7 +789,7 @@
         caller.open(&name(1), 9_000, 0, "x").await;
         connection.expect_request("INVITE").await;
         connection.releases(&name(1), 16).await;
-        assert!(matches!(world.answer(&name(1)).await.what, What::Close(31, _)));
+        assert!(matches!(world.final_answer(&name(1)).await.kind, EventKind::Close(31, _)));
         connection.answers(&name(1), "late").await;
         assert_eq!(connection.expect_request("BYE").await, name(1));
         tokio::time::sleep(RESEND_DELAY * 2).await;
@@ -801,7 +803,7 @@
 #[test]
 fn a_second_answer_is_ignored_and_one_after_the_time_out_is_released() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -809,11 +811,11 @@
         caller.open(&name(1), 9_000, 0, "x").await;
         connection.expect_request("INVITE").await;
         connection.answers(&name(1), "y").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         connection.answers(&name(1), "z").await;
         caller.open(&name(2), 300, 0, "x").await;
         connection.expect_request("INVITE").await;
-        assert!(matches!(world.answer(&name(2)).await.what, What::Close(31, _)));
+        assert!(matches!(world.final_answer(&name(2)).await.kind, EventKind::Close(31, _)));
         connection.expect_request("CANCEL").await;
         connection.answers(&name(2), "late").await;
         assert_eq!(
@@ -835,7 +837,7 @@
 #[case::the_answer_first(false)]
 fn a_cancel_that_crosses_the_answer_ends_the_call(#[case] cancel_first: bool) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -850,7 +852,7 @@
             connection.answers(&name(1), "y").await;
             controller.wait_for("the call is answered", |i| i.counters().completed == 1).await;
             caller.close(&name(1), 16).await;
-            world.until("the release is confirmed", received(&name(1), What::Closed)).await;
+            world.wait_for("the release is confirmed", received(&name(1), EventKind::Closed)).await;
         }
         assert_eq!(connection.expect_request("BYE").await, name(1));
         let counters = controller.instance.counters();
@@ -868,7 +870,7 @@
 #[test]
 fn a_cancel_sent_together_with_the_answer_ends_the_call() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, _b) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -897,7 +899,7 @@
     #[case] sends_again: bool,
 ) {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -915,8 +917,8 @@
             assert!(reset.elapsed() >= RESEND_DELAY, "after {:?}", reset.elapsed());
             connection.answers(&name(1), "y").await;
         }
-        let answer = world.answer(&name(1)).await.what;
-        assert_eq!(matches!(answer, What::Ready(_)), sends_again, "{answer:?}");
+        let answer = world.final_answer(&name(1)).await.kind;
+        assert_eq!(matches!(answer, EventKind::Ready(_)), sends_again, "{answer:?}");
         let counters = controller.instance.counters();
         assert_eq!((counters.open, counters.attempts), (0, 1 + u64::from(sends_again)));
     });
@@ -927,7 +929,7 @@
 #[test]
 fn a_reload_with_incompatible_settings_is_rejected_as_a_whole() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let server = ScriptedServer::start("s0").await;
         let (controller, bulletin) = Controller::with_scripted_servers(&world, &[&server], |_| {}).await;
         let mut connection = server.accept_ready().await;
@@ -950,13 +952,13 @@
             Some(lockpoint::fleet::FleetConfig { me: 1, controllers: 2, ..Default::default() });
         assert_eq!(controller.instance.reload(other), ["fleet"]);
         // Entries that name their zone are read with the zones of the settings in force.
-        bulletin.tell(false, vec![server.host(0, "ready")]);
+        bulletin.publish(false, vec![server.host(0, "ready")]);
         let second = ScriptedServer::start("s1").await;
-        bulletin.tell(false, vec![second.host(1, "ready")]);
+        bulletin.publish(false, vec![second.host(1, "ready")]);
         listed(&controller, "s1", ServerState::Ready).await;
         assert!(controller.instance.servers().iter().all(|line| line.zone == 0), "east is the first zone");
         connection.answers(&name(1), "y").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
     });
 }
 
@@ -964,7 +966,7 @@
 #[test]
 fn a_reload_changes_the_connect_timeout() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (first, (full, _fill)) =
             (ScriptedServer::start("s0").await, ScriptedServer::with_full_backlog("s1").await);
         let long_timeout = |config: &mut lockpoint::config::InstanceConfig| {
@@ -974,7 +976,7 @@
         let mut next = config(bulletin.at);
         next.connect_timeout = Span::from_millis(50);
         assert!(controller.instance.reload(next).is_empty());
-        bulletin.tell(false, vec![full.host(1, "ready")]);
+        bulletin.publish(false, vec![full.host(1, "ready")]);
         controller.wait_for("a connect attempt times out", |i| i.counters().not_made > 0).await;
     });
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -12,9 +12,7 @@
 use rstest::rstest;
 use serde_json::json;
 use support::iax2::{IaxCaller, Resolver, SERVICE};
-use support::{
-    in_time, name, on_one_thread, Bulletin, Controller, ScriptedServer, ServerConnection, What, World,
-};
+use support::{in_time, name, on_one_thread, Bulletin, Controller, EventKind, EventLog, Hand, Wire};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
@@ -73,7 +71,7 @@
 
 /// A controller and its call server, with call 1 pending.
 struct Scene {
-    world: World,
+    world: EventLog,
     controller: Controller,
     _bulletin: std::rc::Rc<Bulletin>,
     hand: ScriptedServer,
@@ -92,7 +90,7 @@
         waits: WaitsFor,
         change: impl FnOnce(&mut lockpoint::config::InstanceConfig),
     ) -> Scene {
-        let world = World::default();
+        let world = EventLog::default();
         let (hand, backlog) = match waits {
             WaitsFor::Connection => ScriptedServer::with_full_backlog("s0").await,
             _ => (ScriptedServer::start("s0").await, Vec::new()),
@@ -272,7 +270,7 @@
 #[test]
 fn queued_set_ups_are_withdrawn_and_sent_ones_are_cancelled() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let hand = ScriptedServer::with_small_receive_buffer("s0").await;
         let (controller, _bulletin) = Controller::with_scripted_servers(&world, &[&hand], |c| {
             support::long_setup_target(c);
@@ -318,11 +316,11 @@
 #[test]
 fn an_unanswered_new_is_not_retransmitted_once_its_caller_has_left() {
     on_one_thread(async {
-        let world = World::default();
+        let world = EventLog::default();
         let (bulletin, resolver) = (Bulletin::start(&world).await, Resolver::start().await);
         let server = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         let at = server.local_addr().expect("an address");
-        resolver.name_server("i0", at, 1, &["cell=0".into(), "zone=east".into()]);
+        resolver.add_server("i0", at, 1, &["cell=0".into(), "zone=east".into()]);
         let mut config = support::config(bulletin.at);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         config.iax2 = Some(Iax2Config::new(any, any));
@@ -350,7 +348,7 @@
             }
         }
         assert_eq!(controller.instance.counters().given_up, 1);
-        let _ = world.count(|s| s.what == What::Closed);
+        let _ = world.count(|s| s.kind == EventKind::Closed);
     });
 }
 
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -9,7 +9,7 @@
 
 use lockpoint::control::{send_request, Command, Reply, Request};
 use lockpoint_lab::bulletin::Bulletin;
-use lockpoint_lab::world::{on_one_thread, World};
+use lockpoint_lab::event_log::{on_one_thread, EventLog};
 use serde_json::Value;
 
 const FILE: &str = r#"
@@ -83,9 +83,9 @@
         while agent.bulletin_failures().await < 3 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let world = World::default();
+        let world = EventLog::default();
         let bulletin = Bulletin::start_at(&world, address).await.expect("the same port is free");
-        bulletin.tell(true, Vec::new());
+        bulletin.publish(true, Vec::new());
         let stderr = agent.child.stderr.take().expect("standard error is piped");
         let reader = tokio::task::spawn_blocking(move || {
             let mut lines = Vec::new();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -12,10 +12,10 @@
 use lockpoint::core::Sid;
 use lockpoint::counters::Counters;
 use lockpoint::instance::{BoundInstance, Instance};
-pub use lockpoint_lab::bulletin::{host, Break, Bulletin};
+pub use lockpoint_lab::bulletin::{list_entry, Bulletin, ResponseFault};
 pub use lockpoint_lab::callers::Caller;
-pub use lockpoint_lab::sip::{Does, SipServer};
-pub use lockpoint_lab::world::{on_one_thread, Seen, What, World};
+pub use lockpoint_lab::event_log::{on_one_thread, EventKind, EventLog, RecordedEvent};
+pub use lockpoint_lab::sip::{ServerBehaviour, SipServer};
 use serde_json::{json, Value};
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
@@ -66,16 +66,17 @@
 
     /// Starts with one simulated SIP call server per cell, and waits until the list has been received.
     pub async fn with_servers(
-        world: &World,
-        does: &[Does],
+        world: &EventLog,
+        does: &[ServerBehaviour],
     ) -> (Controller, Vec<Rc<SipServer>>, Rc<Bulletin>) {
         let bulletin = Bulletin::start(world).await;
         let mut servers = Vec::new();
         for (cell, does) in does.iter().enumerate() {
             servers.push(SipServer::start(world, &format!("s{cell}"), does.clone()).await);
         }
-        let hosts = servers.iter().enumerate().map(|(cell, s)| host(&s.name, s.at, cell as u16, "ready"));
-        bulletin.tell(true, hosts.collect());
+        let hosts =
+            servers.iter().enumerate().map(|(cell, s)| list_entry(&s.name, s.at, cell as u16, "ready"));
+        bulletin.publish(true, hosts.collect());
         let controller = Controller::start(config(bulletin.at)).await;
         controller.wait_for_list().await;
         (controller, servers, bulletin)
@@ -185,7 +186,7 @@
     }
     /// The call server's entry in the list.
     pub fn host(&self, cell: u16, health: &str) -> Value {
-        host(&self.name, self.at, cell, health)
+        list_entry(&self.name, self.at, cell, health)
     }
 }
 
@@ -250,12 +251,12 @@
 impl Controller {
     /// Starts with these call servers, one per cell, listed by a bulletin.
     pub async fn with_scripted_servers(
-        world: &World,
+        world: &EventLog,
         servers: &[&ScriptedServer],
         change: impl FnOnce(&mut InstanceConfig),
     ) -> (Controller, Rc<Bulletin>) {
         let bulletin = Bulletin::start(world).await;
-        bulletin.tell(true, (0..).zip(servers).map(|(cell, server)| server.host(cell, "ready")).collect());
+        bulletin.publish(true, (0..).zip(servers).map(|(cell, server)| server.host(cell, "ready")).collect());
         let mut config = config(bulletin.at);
         change(&mut config);
         let controller = Controller::start(config).await;
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -15,14 +15,15 @@
 use rstest::rstest;
 use serde_json::json;
 use support::{
-    host, name, on_one_thread, settings, Break, Bulletin, Caller, Does, Seen, SipServer, What, World,
+    list_entry, name, on_one_thread, settings, Bulletin, Caller, EventKind, EventLog, RecordedEvent,
+    ResponseFault, ServerBehaviour, SipServer,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 /// The platform's side of a controller: its folder and listening socket, a call server and a bulletin.
 struct Platform {
-    world: World,
+    world: EventLog,
     dir: PathBuf,
     listener: TcpListener,
     bulletin: Rc<Bulletin>,
@@ -32,9 +33,9 @@
 }
 
 impl Platform {
-    async fn new(test: &str, does: Does) -> Platform {
+    async fn new(test: &str, does: ServerBehaviour) -> Platform {
         static INSTANCES: AtomicUsize = AtomicUsize::new(0);
-        let world = World::default();
+        let world = EventLog::default();
         let no = INSTANCES.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("lockpoint-{test}-{}-{no}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
@@ -42,7 +43,7 @@
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).expect("children inherit it");
         let bulletin = Bulletin::start(&world).await;
         let server = SipServer::start(&world, "s0", does).await;
-        bulletin.tell(true, vec![host("s0", server.at, 0, "ready")]);
+        bulletin.publish(true, vec![list_entry("s0", server.at, 0, "ready")]);
         Platform { world, dir, listener, bulletin, server, no, consoles: Cell::new(0) }
     }
 
@@ -156,16 +157,16 @@
     }
 }
 
-fn answers(text: &str) -> Does {
-    Does::Answer(text.to_owned())
+fn answers(text: &str) -> ServerBehaviour {
+    ServerBehaviour::Answer(text.to_owned())
 }
 
-fn is(sid: &str, what: What) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && seen.what == what
+fn is(sid: &str, what: EventKind) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && seen.kind == what
 }
 
-fn set_up(sid: &str) -> impl Fn(&Seen) -> bool + '_ {
-    move |seen| seen.sid == sid && matches!(seen.what, What::SetUp(..))
+fn set_up(sid: &str) -> impl Fn(&RecordedEvent) -> bool + '_ {
+    move |seen| seen.sid == sid && matches!(seen.kind, EventKind::SetUp(..))
 }
 
 /// Guards against calls, answers and releases lost, or attempts sent twice, in a takeover.
@@ -178,17 +179,17 @@
         let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
         caller.open(&name(2), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
-        world.answer(&name(2)).await;
+        world.final_answer(&name(1)).await;
+        world.final_answer(&name(2)).await;
         // One call with an outstanding attempt, and one whose set-up is half received.
-        *platform.server.does.borrow_mut() = Does::Silent;
+        *platform.server.behaviour.borrow_mut() = ServerBehaviour::Silent;
         caller.open(&name(3), 9_000, 0, "x").await;
-        world.until("the attempt is out", set_up(&name(3))).await;
+        world.wait_for("the attempt is out", set_up(&name(3))).await;
         let half = format!(
             r#"{{"msg":"open","sid":"{}","attrs":{{"class":"judge-call","left":"9000","key":"7f3a"}},"te"#,
             name(4)
         );
-        caller.say(half.as_bytes()).await;
+        caller.send(half.as_bytes()).await;
         // Read by the old process or by the new one: the result must be the same.
         tokio::time::sleep(Duration::from_millis(20)).await;
 
@@ -204,18 +205,18 @@
             "SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 4\r\n\r\nlate",
             name(3)
         );
-        platform.server.say(out.as_bytes());
-        assert_eq!(world.answer(&name(3)).await.what, What::Ready("late".into()));
-        *platform.server.does.borrow_mut() = answers("b");
-        caller.say(b"xt\":\"y\"}\n").await;
-        assert_eq!(world.answer(&name(4)).await.what, What::Ready("b".into()));
+        platform.server.send(out.as_bytes());
+        assert_eq!(world.final_answer(&name(3)).await.kind, EventKind::Ready("late".into()));
+        *platform.server.behaviour.borrow_mut() = answers("b");
+        caller.send(b"xt\":\"y\"}\n").await;
+        assert_eq!(world.final_answer(&name(4)).await.kind, EventKind::Ready("b".into()));
         // Releases from both sides find their calls.
         platform.server.release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
         caller.close(&name(2), 16).await;
-        world.until("the BYE", is(&name(2), What::Bye(16))).await;
+        world.wait_for("the BYE", is(&name(2), EventKind::Bye(16))).await;
         for n in 1..=4 {
-            let finals = |s: &Seen| s.sid == name(n) && matches!(s.what, What::Ready(_));
+            let finals = |s: &RecordedEvent| s.sid == name(n) && matches!(s.kind, EventKind::Ready(_));
             assert_eq!((world.count(set_up(&name(n))), world.count(finals)), (1, 1), "call {n}");
         }
         assert!(second.call("INFO").await.contains("judge-call.completed:2|c"));
@@ -225,14 +226,14 @@
 /// Guards against a late reaction to a draining call server after the bulletin's answer stalled or broke off during a
 /// takeover.
 #[rstest]
-#[case::breaks_off(Break::Off)]
-#[case::stalls(Break::Stall)]
-fn an_incomplete_bulletin_answer_during_a_takeover_is_requested_again_in_time(#[case] how: Break) {
+#[case::breaks_off(ResponseFault::Truncate)]
+#[case::stalls(ResponseFault::Stall)]
+fn an_incomplete_bulletin_answer_during_a_takeover_is_requested_again_in_time(#[case] how: ResponseFault) {
     on_one_thread(async {
         let platform = Platform::new("bulletin", answers("a")).await;
         let first = platform.start().await;
-        platform.bulletin.breaks.set(Some(how));
-        platform.bulletin.tell(false, vec![host("s0", platform.server.at, 0, "draining")]);
+        platform.bulletin.response_fault.set(Some(how));
+        platform.bulletin.publish(false, vec![list_entry("s0", platform.server.at, 0, "draining")]);
         let told = Instant::now();
         let second = platform.start().await;
         until("the drain takes effect", async || {
@@ -259,7 +260,7 @@
         let caller = Caller::connect(world, "c", platform.at()).await;
         for n in 1..=4 {
             caller.open(&name(n), 9_000, 0, "x").await;
-            assert_eq!(world.answer(&name(n)).await.what, What::Ready("a".into()));
+            assert_eq!(world.final_answer(&name(n)).await.kind, EventKind::Ready("a".into()));
             now.signal("-HUP");
             let next = platform.start().await;
             let (code, log) = std::mem::replace(&mut now, next).end().await;
@@ -269,8 +270,8 @@
         assert!(now.call("LAMEDUCK").await.starts_with("SUCCESS"));
         let next = platform.start().await;
         assert_eq!(std::mem::replace(&mut now, next).end().await.0, Some(0));
-        caller.say(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
-        world.until("still not ready", |s| s.what == What::Other("probed 0".into())).await;
+        caller.send(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
+        world.wait_for("still not ready", |s| s.kind == EventKind::Other("probed 0".into())).await;
         assert!(now.call("REJOIN").await.starts_with("SUCCESS"));
         now.signal("-TERM");
         assert_eq!(now.end().await.0, Some(0));
@@ -286,7 +287,7 @@
         let mut first = platform.start().await;
         let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         // One with an invalid file, and one whose peer address cannot be bound.
         let bad = platform.start_with(platform.free_console_address(), |text| text["settings"] = json!(5));
         let (code, log) = bad.end().await;
@@ -297,9 +298,9 @@
         assert_eq!(busy.end().await.0, Some(2));
         assert!(first.is_running());
         caller.open(&name(2), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("a".into()));
         platform.server.release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
     });
 }
 
@@ -320,7 +321,7 @@
         let mut first = platform.start().await;
         let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.answer(&name(1)).await;
+        world.final_answer(&name(1)).await;
         let _open_stream;
         match sends {
             None => {
@@ -337,13 +338,13 @@
             }
         }
         caller.open(&name(2), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("a".into()));
         assert!(first.is_running());
         // A real successor can still take over.
         let _second = platform.start().await;
         assert_eq!(first.end().await.0, Some(0));
         platform.server.release(&name(1), 16);
-        world.until("the release", is(&name(1), What::Close(16, None))).await;
+        world.wait_for("the release", is(&name(1), EventKind::Close(16, None))).await;
     });
 }
 
@@ -360,7 +361,7 @@
         let second = platform.start().await;
         let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
         // The new process listens for a successor again.
         let _third = platform.start().await;
         assert_eq!(second.end().await.0, Some(0));
@@ -381,17 +382,17 @@
         let world = &platform.world;
         let first = platform.start().await;
         let caller = Caller::connect(world, "c", platform.at()).await;
-        *platform.server.does.borrow_mut() = Does::Silent;
+        *platform.server.behaviour.borrow_mut() = ServerBehaviour::Silent;
         caller.open(&name(1), 9_000, 0, "x").await;
-        world.until("the attempt is out", set_up(&name(1))).await;
+        world.wait_for("the attempt is out", set_up(&name(1))).await;
         let second = platform.start_with(platform.free_console_address(), |text| {
             *text.pointer_mut(key).expect("there") = value.clone();
         });
         until("the process can serve", async || second.call("PING").await.starts_with("SUCCESS")).await;
         let out =
             format!("SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny", name(1));
-        platform.server.say(out.as_bytes());
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        platform.server.send(out.as_bytes());
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         let (code, log) = first.end().await;
         assert!(log.contains("stopping: a successor started without this process's state"), "{log}");
         assert_eq!(code, Some(0), "{log}");
@@ -410,8 +411,8 @@
         let (code, log) = second.end().await;
         assert!(code == Some(2) && log.contains("cannot listen at"), "{log}");
         let caller = Caller::connect(&platform.world, "c", platform.at()).await;
-        caller.say(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
-        platform.world.until("it is ready", |s| s.what == What::Other("probed 1".into())).await;
+        caller.send(b"{\"msg\":\"probe\",\"sid\":\"0000000000000001\",\"attrs\":{},\"code\":0}\n").await;
+        platform.world.wait_for("it is ready", |s| s.kind == EventKind::Other("probed 1".into())).await;
         assert!(first.is_running());
         // A successor that can use the state inherits the same console.
         let third = platform.start_with(first.console, |_| ());
@@ -419,7 +420,7 @@
         assert_eq!(code, Some(0), "{log}");
         until("the process can serve", async || third.call("PING").await.starts_with("SUCCESS")).await;
         caller.open(&name(1), 9_000, 0, "x").await;
-        assert_eq!(platform.world.answer(&name(1)).await.what, What::Ready("a".into()));
+        assert_eq!(platform.world.final_answer(&name(1)).await.kind, EventKind::Ready("a".into()));
     });
 }
 
@@ -475,11 +476,11 @@
 #[test]
 fn a_takeover_with_pending_calls() {
     on_one_thread(async {
-        let platform = Platform::new("waits", Does::Silent).await;
+        let platform = Platform::new("waits", ServerBehaviour::Silent).await;
         let world = &platform.world;
         let hand = support::ScriptedServer::start("s1").await;
         let (late, fill) = support::ScriptedServer::with_full_backlog("s2").await;
-        platform.bulletin.tell(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
+        platform.bulletin.publish(false, vec![hand.host(1, "ready"), late.host(2, "ready")]);
         let long = |text: &mut serde_json::Value| {
             text["settings"]["bounds"]["connect-timeout-us"] = json!(60_000_000u64);
         };
@@ -493,7 +494,7 @@
         let caller = Caller::connect(world, "c", platform.at()).await;
         caller.open(&name(2), 9_000, 2, "x").await;
         caller.open(&name(3), 9_000, 0, "x").await;
-        world.until("the attempt is out", set_up(&name(3))).await;
+        world.wait_for("the attempt is out", set_up(&name(3))).await;
         caller.open(&name(1), 9_000, 1, "x").await;
         assert_eq!(link.expect_request("INVITE").await, name(1));
         let refused_at = Instant::now();
@@ -504,12 +505,12 @@
         caller.close(&name(3), 16).await;
         let (code, log) = first.end().await;
         assert_eq!(code, Some(0), "{log}");
-        world.until("the CANCEL of the outstanding attempt", is(&name(3), What::Cancel)).await;
+        world.wait_for("the CANCEL of the outstanding attempt", is(&name(3), EventKind::Cancel)).await;
         // The delay that began in the old process ends in the new one.
         let call = name(1);
         let retried = tokio::select! {
             call = link.expect_request("INVITE") => call,
-            seen = world.until("another server", set_up(&call)) => seen.sid,
+            seen = world.wait_for("another server", set_up(&call)) => seen.sid,
         };
         assert_eq!(retried, name(1));
         assert!(refused_at.elapsed() >= Duration::from_millis(500), "after {:?}", refused_at.elapsed());
@@ -520,9 +521,9 @@
                 "SIP/2.0 200 OK\r\nCall-ID: {}\r\nCSeq: 1 INVITE\r\nContent-Length: 1\r\n\r\ny",
                 name(1)
             );
-            platform.server.say(text.as_bytes());
+            platform.server.send(text.as_bytes());
         }
-        assert_eq!(world.answer(&name(1)).await.what, What::Ready("y".into()));
+        assert_eq!(world.final_answer(&name(1)).await.kind, EventKind::Ready("y".into()));
         // The new process makes the connection that the old one had begun.
         drop(fill);
         let mut kept = Vec::new();
@@ -537,11 +538,13 @@
             }
             kept.push(link);
         }
-        assert_eq!(world.answer(&name(2)).await.what, What::Ready("z".into()));
+        assert_eq!(world.final_answer(&name(2)).await.kind, EventKind::Ready("z".into()));
         let info = second.call("INFO").await;
         assert!(info.contains("controller.pending:2|g"), "two established, none pending: {info}");
         for n in 1..=3 {
-            let finals = |s: &Seen| s.sid == name(n) && matches!(s.what, What::Ready(_) | What::Close(..));
+            let finals = |s: &RecordedEvent| {
+                s.sid == name(n) && matches!(s.kind, EventKind::Ready(_) | EventKind::Close(..))
+            };
             assert_eq!(world.count(finals), usize::from(n < 3), "call {n}");
         }
     });
