--- a/crates/lockpoint-lab/src/fleet/cold.rs
+++ b/crates/lockpoint-lab/src/fleet/cold.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
 
-use super::driven::{Driven, DrivenConfig, Tally};
+use super::core_simulation::{CoreSimulation, CoreSimulationConfig, Counts};
 use crate::processor::ProcessorConfig;
 use crate::under_test::LabError;
 
@@ -67,9 +67,9 @@
 }
 
 /// One run: the tally of the time in which the call server is away or cold, and the credit borrowed, in 1/256 of a permit.
-fn play(kind: Kind, controllers: u16, shares: bool, seed: u64) -> (Tally, u64) {
+fn play(kind: Kind, controllers: u16, shares: bool, seed: u64) -> (Counts, u64) {
     let rng = &mut Pcg64Mcg::seed_from_u64(seed);
-    let mut fleet = Driven::new(DrivenConfig {
+    let mut fleet = CoreSimulation::new(CoreSimulationConfig {
         controllers,
         servers: SERVERS,
         processor: ProcessorConfig { capacity: CAPACITY, ..ProcessorConfig::default() },
@@ -77,12 +77,12 @@
         first: FIRST,
         shares: shares.then(FleetConfig::default),
         seed,
-        ..DrivenConfig::default()
+        ..CoreSimulationConfig::default()
     });
-    fleet.pass(USUAL);
-    let before = fleet.tally;
+    fleet.advance(USUAL);
+    let before = fleet.counts;
     fleet.kill_server(0);
-    fleet.pass(AWAY);
+    fleet.advance(AWAY);
     let any = |rng: &mut Pcg64Mcg| (rng.next_u32() % u32::from(controllers)) as u16;
     match kind {
         Kind::Nothing | Kind::OneStandsStill | Kind::ThirdRestarted => {}
@@ -99,20 +99,20 @@
     fleet.start_server(0);
     match kind {
         Kind::OneStandsStill => {
-            fleet.pass(Span::from_millis(500));
-            fleet.stall(any(rng), Span::from_millis(5_000));
+            fleet.advance(Span::from_millis(500));
+            fleet.suspend(any(rng), Span::from_millis(5_000));
         }
         Kind::ThirdRestarted => {
-            fleet.pass(Span::from_millis(1_500));
+            fleet.advance(Span::from_millis(1_500));
             (0..controllers).filter(|me| me % 3 == 1).for_each(|me| fleet.restart(me));
         }
         _ => {}
     }
-    fleet.pass(COLD);
+    fleet.advance(COLD);
     let borrowed = fleet.credit_counts().borrowed;
-    let mut tally = fleet.tally;
+    let mut tally = fleet.counts;
     tally.asked -= before.asked;
-    tally.stood -= before.stood;
+    tally.established -= before.established;
     tally.in_aim -= before.in_aim;
     (tally, borrowed)
 }
@@ -135,15 +135,16 @@
     failed: usize,
 }
 
-fn row(kind: Kind, controllers: u16, shares: bool, runs: &[(Tally, u64)]) -> Row {
+fn row(kind: Kind, controllers: u16, shares: bool, runs: &[(Counts, u64)]) -> Row {
     let mut budget: Vec<f64> = runs.iter().map(|(tally, _)| tally.most_to_cold).collect();
     budget.sort_by(f64::total_cmp);
     let at = |share: f64| budget[((budget.len() - 1) as f64 * share) as usize];
-    let mean =
-        |figure: &dyn Fn(&Tally) -> f64| runs.iter().map(|(t, _)| figure(t)).sum::<f64>() / runs.len() as f64;
+    let mean = |figure: &dyn Fn(&Counts) -> f64| {
+        runs.iter().map(|(t, _)| figure(t)).sum::<f64>() / runs.len() as f64
+    };
     let bound = bound(shares);
     // The budget itself is the rule; the bound on paper may lie above it.
-    let kept = |tally: &Tally| tally.fell == 0 && tally.most_to_cold <= bound.min(1.0);
+    let kept = |tally: &Counts| tally.fell == 0 && tally.most_to_cold <= bound.min(1.0);
     let borrowed = runs.iter().map(|(_, parts)| *parts as f64 / 256.0).sum::<f64>() / runs.len() as f64;
     Row {
         controllers,
@@ -157,7 +158,7 @@
         fell: runs.iter().map(|(tally, _)| tally.fell).sum(),
         to_cold: mean(&|t| t.to_cold as f64),
         in_aim: mean(&|t| t.in_aim as f64 / t.asked.max(1) as f64),
-        late: mean(&|t| (t.stood - t.in_aim) as f64 / t.asked.max(1) as f64),
+        late: mean(&|t| (t.established - t.in_aim) as f64 / t.asked.max(1) as f64),
         borrowed,
         failed: runs.iter().filter(|(tally, _)| !kept(tally)).count(),
     }
@@ -212,7 +213,7 @@
         jobs[*a].0 == jobs[*b].0 && jobs[*a].1 == jobs[*b].1 && jobs[*a].2 == jobs[*b].2
     }) {
         let (controllers, kind, shares, _) = jobs[group[0].0];
-        let runs: Vec<(Tally, u64)> = group.iter().map(|(_, played)| *played).collect();
+        let runs: Vec<(Counts, u64)> = group.iter().map(|(_, played)| *played).collect();
         let row = row(kind, controllers, shares, &runs);
         println!(
             "{:>11} {:>17} {:>6} {:>6} {:>7.3} {:>7.3} {:>7.3} {:>6.3} {:>4} {:>8.1} {:>7.3} {:>6.3} {:>9.1} {:>6}",
--- a/crates/lockpoint-lab/src/fleet/driven.rs
+++ b/crates/lockpoint-lab/src/fleet/core_simulation.rs
@@ -32,7 +32,7 @@
 
 /// What is at work, and how much is asked of it.
 #[derive(Debug, Clone)]
-pub struct DrivenConfig {
+pub struct CoreSimulationConfig {
     /// Controllers.
     pub controllers: u16,
     /// Call servers.
@@ -55,9 +55,9 @@
     pub seed: u64,
 }
 
-impl Default for DrivenConfig {
+impl Default for CoreSimulationConfig {
     fn default() -> Self {
-        DrivenConfig {
+        CoreSimulationConfig {
             controllers: 6,
             servers: 4,
             processor: ProcessorConfig::default(),
@@ -74,15 +74,15 @@
 
 /// What was counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Tally {
+pub struct Counts {
     /// New callers.
     pub asked: u64,
     /// Calls that stood, redials' too.
-    pub stood: u64,
+    pub established: u64,
     /// Those of them that stood within the aim.
     pub in_aim: u64,
     /// Set-ups refused or failed.
-    pub turned_away: u64,
+    pub refused: u64,
     /// Set-ups that a call server got while it was cold.
     pub to_cold: u64,
     /// The most that a cold call server was sent within the rule's window, as a share of what makes it fall over.
@@ -123,14 +123,14 @@
 }
 
 /// A fleet at work.
-pub struct Driven {
+pub struct CoreSimulation {
     /// The time.
     pub now: Time,
     /// What the links do from now on.
     pub links: Links,
     /// What was counted so far.
-    pub tally: Tally,
-    config: DrivenConfig,
+    pub counts: Counts,
+    config: CoreSimulationConfig,
     controllers: Vec<Controller>,
     machines: Vec<Machine>,
     load: Load,
@@ -145,7 +145,7 @@
     rng: Pcg64Mcg,
 }
 
-fn settings(config: &DrivenConfig) -> Settings {
+fn settings(config: &CoreSimulationConfig) -> Settings {
     let cells = Some((0..config.servers).map(Cell).collect());
     let class =
         ClassSettings { setup_target: AIM, worth: 1.0, late_worth: 0.1, cells, ..ClassSettings::default() };
@@ -168,9 +168,9 @@
     }
 }
 
-impl Driven {
+impl CoreSimulation {
     /// All warm and listed, nothing asked yet.
-    pub fn new(config: DrivenConfig) -> Driven {
+    pub fn new(config: CoreSimulationConfig) -> CoreSimulation {
         let now = Time(1_000_000_000);
         let machine = |n: u16| Machine {
             processor: Processor::new(config.processor, config.seed.wrapping_add(u64::from(n))),
@@ -186,10 +186,10 @@
             down: false,
             drains: None,
         };
-        let mut driven = Driven {
+        let mut driven = CoreSimulation {
             now,
             links: config.links.clone(),
-            tally: Tally::default(),
+            counts: Counts::default(),
             controllers: Vec::new(),
             machines: (0..config.servers).map(machine).collect(),
             load: Load::new(CallersConfig::default(), config.servers, config.seed),
@@ -260,7 +260,7 @@
     }
 
     /// A controller stands still for so long; what comes meanwhile waits for it.
-    pub fn stall(&mut self, me: u16, how_long: Span) {
+    pub fn suspend(&mut self, me: u16, how_long: Span) {
         let until = self.now.plus(how_long);
         self.controllers[usize::from(me)].stalled = Some(until);
         self.book(until, Then::Wakes);
@@ -315,12 +315,12 @@
     }
 
     /// Calls that a controller owes an answer.
-    pub fn open_calls(&self, me: u16) -> usize {
+    pub fn pending_calls(&self, me: u16) -> usize {
         self.controllers[usize::from(me)].core.pending_calls()
     }
 
     /// Lets so much time pass.
-    pub fn pass(&mut self, how_long: Span) {
+    pub fn advance(&mut self, how_long: Span) {
         let end = self.now.plus(how_long);
         while self.step(end) {}
         self.now = end;
@@ -431,7 +431,7 @@
 
     fn ask(&mut self, wanted: Wanted) {
         let me = if wanted.redialled == 0 {
-            self.tally.asked += 1;
+            self.counts.asked += 1;
             let rate = self.rate();
             let next = self.load.arrival(self.now, rate);
             self.book(next.at, Then::Asks(next));
@@ -494,13 +494,13 @@
                 }
                 Effect::Invite { server, sid, .. } => self.invited(me, server, sid),
                 Effect::Answer(_, sid, _) => {
-                    self.tally.stood += 1;
+                    self.counts.established += 1;
                     if let Some((_, wanted)) = self.asked.remove(&sid) {
-                        self.tally.in_aim += u64::from(self.now.since(wanted.at) <= AIM);
+                        self.counts.in_aim += u64::from(self.now.since(wanted.at) <= AIM);
                     }
                 }
                 Effect::Refuse { sid, retry_after: wait, .. } => {
-                    self.tally.turned_away += 1;
+                    self.counts.refused += 1;
                     let of = self.asked.remove(&sid);
                     if let Some(again) = of.and_then(|(_, of)| self.load.redial(self.now, &of, wait)) {
                         self.book(again.at, Then::Asks(again));
@@ -531,12 +531,12 @@
             return self.book(now.plus(Span::from_millis(2)), Then::Says(me, server, sid, not_there));
         }
         let too_late = machine.drains.is_some_and(|told| now.since(told) > Span::from_millis(250));
-        self.tally.after_drain += u64::from(too_late);
+        self.counts.after_drain += u64::from(too_late);
         let cold = machine.processor.share(now) < 1.0;
-        self.tally.to_cold += u64::from(cold);
+        self.counts.to_cold += u64::from(cold);
         let offer = machine.processor.offer(now);
         if cold {
-            self.tally.most_to_cold = self.tally.most_to_cold.max(machine.processor.pressure(now));
+            self.counts.most_to_cold = self.counts.most_to_cold.max(machine.processor.pressure(now));
         }
         let (at, says) = match offer {
             Offer::Taken(at) => (at, ServerEvent::Answered("y".into())),
@@ -545,7 +545,7 @@
             }
             Offer::Tipped => {
                 machine.down = true;
-                self.tally.fell += 1;
+                self.counts.fell += 1;
                 (now.plus(Span::from_millis(2)), not_there)
             }
         };
--- a/crates/lockpoint-lab/src/fleet/crash.rs
+++ b/crates/lockpoint-lab/src/fleet/crash.rs
@@ -146,8 +146,8 @@
         let lines = servers.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
         bulletin.tell(true, lines.collect());
         let mut fleet = Processes::prepare(program, controllers, bulletin.at, &settings(), seed).await?;
-        (fleet.shares, fleet.store) = (Some(json!({})), Some(json!({})));
-        fleet.begin_all().await?;
+        (fleet.fleet_settings, fleet.store_settings) = (Some(json!({})), Some(json!({})));
+        fleet.start_all().await?;
         let (callers, losses) = (BTreeMap::new(), Vec::new());
         let mut round = Round { world, servers, fleet, callers, asked: 0, losses };
         for me in 0..controllers {
@@ -157,7 +157,7 @@
     }
 
     async fn connect(&mut self, me: u16) {
-        let Some(at) = self.fleet.at(me) else { return };
+        let Some(at) = self.fleet.client_address(me) else { return };
         if let Ok(caller) = Caller::try_connect(&self.world, &format!("caller{me}"), at).await {
             caller.confirm();
             self.callers.insert(me, caller);
@@ -174,7 +174,7 @@
         let every = every * u32::try_from(self.callers.len().max(1)).unwrap_or(1);
         while Instant::now() < end {
             for (me, caller) in &self.callers {
-                if self.fleet.at(*me).is_none() {
+                if self.fleet.client_address(*me).is_none() {
                     continue;
                 }
                 self.asked += 1;
@@ -226,7 +226,7 @@
     while let Some(me) = order.pop() {
         tokio::time::sleep(Duration::from_millis(300).mul_f64(chance(rng))).await;
         first_start.get_or_insert_with(Instant::now);
-        round.fleet.begin(me).await?;
+        round.fleet.start_controller(me).await?;
         if std::mem::take(&mut again) {
             // In the midst of its recovery, and from the records that it had then.
             round.kill(&[me]).await;
@@ -434,12 +434,12 @@
             let who: Vec<u16> = (0..lost).collect();
             round.kill(&who).await;
             for me in &who {
-                record(&round.fleet.records(*me), &round.servers[0].name, calls)?;
+                record(&round.fleet.record_file(*me), &round.servers[0].name, calls)?;
             }
             let start = Instant::now();
             let mut serves = Duration::ZERO;
             for me in &who {
-                round.fleet.begin(*me).await?;
+                round.fleet.start_controller(*me).await?;
                 serves = serves.max(start.elapsed());
                 round.connect(*me).await;
             }
--- a/crates/lockpoint-lab/src/fleet/limits.rs
+++ b/crates/lockpoint-lab/src/fleet/limits.rs
@@ -107,14 +107,14 @@
             let wait = Span::from_millis(u64::from(rng.next_u32() % 40));
             sim.observe(who, Key(rng.next_u32() % BACKGROUND_SERVERS), wait, false);
         }
-        sim.pass(OBSERVATION_INTERVAL);
+        sim.advance(OBSERVATION_INTERVAL);
     }
 }
 
 fn fault(kind: Kind, controllers: u16, seed: u64) -> Outcome {
     let rng = &mut Pcg64Mcg::seed_from_u64(seed);
     let mut sim =
-        Sim::new(controllers, seed, Links { twice: 0.01, ..Links::default() }, &FleetConfig::default());
+        Sim::new(controllers, seed, Links { duplication: 0.01, ..Links::default() }, &FleetConfig::default());
     works(&mut sim, controllers, rng, BEFORE);
     let bytes = sim.bytes().iter().map(|bytes| bytes * 1_000_000 / BEFORE.0).collect();
     let who = (rng.next_u32() % u32::from(controllers)) as u16;
@@ -131,7 +131,7 @@
         }
         Kind::StandsStill => {
             let still = (who + 1) % controllers;
-            sim.stall(still, LIMIT);
+            sim.suspend(still, LIMIT);
             exempt = Some(still);
         }
         Kind::HalvesThenHeal => sim.links.split(controllers / 2, controllers),
@@ -141,7 +141,7 @@
     let mut none_across = true;
     if parted {
         sim.observe(who, SUBJECT, Span::default(), true);
-        sim.pass(Span::from_millis(1_000));
+        sim.advance(Span::from_millis(1_000));
         let group = |no: u16| sim.links.groups[usize::from(no)];
         none_across = (0..controllers).all(|no| group(no) == group(who) || sim.view(no, SUBJECT).is_none());
         sim.links.groups.clear();
@@ -151,7 +151,7 @@
         let holds = |sim: &Sim, no: u16| sim.view(no, SUBJECT).is_some_and(|s| s.silent);
         let mut took = Vec::new();
         for no in 0..controllers {
-            let there = sim.until(healed.plus(LIMIT), |sim| holds(sim, no));
+            let there = sim.run_until(healed.plus(LIMIT), |sim| holds(sim, no));
             took.push(there.then(|| sim.now.since(healed)));
         }
         took
--- a/crates/lockpoint-lab/src/fleet/mesh.rs
+++ b/crates/lockpoint-lab/src/fleet/mesh.rs
@@ -38,7 +38,7 @@
     /// The observation that is tracked.
     pub watch: RefCell<Option<Watch>>,
     /// Datagrams delivered.
-    pub passed: Cell<u64>,
+    pub delivered: Cell<u64>,
     /// Datagrams lost.
     pub lost: Cell<u64>,
     /// The address that each controller listens on.
@@ -83,8 +83,8 @@
         }
         drop(held);
         let rng = RefCell::new(Pcg64Mcg::seed_from_u64(seed));
-        let (passed, lost, links) = (Cell::new(0), Cell::new(0), RefCell::new(links));
-        let mesh = Rc::new(Mesh { links, watch: RefCell::default(), passed, lost, listens, seats, rng });
+        let (delivered, lost, links) = (Cell::new(0), Cell::new(0), RefCell::new(links));
+        let mesh = Rc::new(Mesh { links, watch: RefCell::default(), delivered, lost, listens, seats, rng });
         for from in 0..controllers {
             for to in (0..controllers).filter(|to| *to != from) {
                 spawn_local(mesh.clone().carry(from, to));
@@ -130,7 +130,7 @@
                 continue;
             }
             let fate = self.links.borrow().fate(from, to, &mut self.rng.borrow_mut());
-            let count = if fate.is_empty() { &self.lost } else { &self.passed };
+            let count = if fate.is_empty() { &self.lost } else { &self.delivered };
             count.set(count.get() + 1);
             for latency in fate {
                 let (outer, bytes, at) = (outer.clone(), bytes[..n].to_vec(), self.listens_at(to));
--- a/crates/lockpoint-lab/src/fleet/mod.rs
+++ b/crates/lockpoint-lab/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 
 pub mod cold;
 pub mod cold_budget;
+pub mod core_simulation;
 pub mod crash;
-pub mod driven;
 pub mod limits;
 pub mod mesh;
 pub mod processes;
--- a/crates/lockpoint-lab/src/fleet/processes.rs
+++ b/crates/lockpoint-lab/src/fleet/processes.rs
@@ -83,7 +83,7 @@
     }
 
     /// Its figures by name, without their common beginning; none where it does not answer.
-    pub async fn figures(&self) -> BTreeMap<String, u64> {
+    pub async fn metrics(&self) -> BTreeMap<String, u64> {
         let request = Request { command: Command::Info, instance: None };
         let Ok(Reply::Called { instances }) = ask(&self.control, &request).await else {
             return BTreeMap::new();
@@ -110,9 +110,9 @@
     pub bulletins: BTreeMap<u16, SocketAddr>,
     settings: Value,
     /// The controllers form a fleet, with these keys in `[instance.fleet]`.
-    pub shares: Option<Value>,
+    pub fleet_settings: Option<Value>,
     /// They keep records, with these keys in `[instance.store]` beside the file.
-    pub store: Option<Value>,
+    pub store_settings: Option<Value>,
     each: BTreeMap<u16, Process>,
 }
 
@@ -128,8 +128,8 @@
         seed: u64,
     ) -> Result<Processes, LabError> {
         let mut fleet = Processes::prepare(program, controllers, bulletin, settings, seed).await?;
-        fleet.shares = shares;
-        fleet.begin_all().await?;
+        fleet.fleet_settings = shares;
+        fleet.start_all().await?;
         Ok(fleet)
     }
 
@@ -151,39 +151,39 @@
             bulletin,
             bulletins: BTreeMap::new(),
             settings,
-            shares: None,
-            store: None,
+            fleet_settings: None,
+            store_settings: None,
             each: BTreeMap::new(),
         })
     }
 
     /// Starts all of them, one after the other.
-    pub async fn begin_all(&mut self) -> Result<(), LabError> {
+    pub async fn start_all(&mut self) -> Result<(), LabError> {
         for me in 0..self.controllers {
-            self.begin(me).await?;
+            self.start_controller(me).await?;
         }
         Ok(())
     }
 
     /// The file that a controller keeps its records in.
-    pub fn records(&self, me: u16) -> PathBuf {
+    pub fn record_file(&self, me: u16) -> PathBuf {
         self.folder.path().join(format!("c{me}.store"))
     }
 
     /// Starts a controller, for the first time or again, and waits until it serves.
-    pub async fn begin(&mut self, me: u16) -> Result<(), LabError> {
+    pub async fn start_controller(&mut self, me: u16) -> Result<(), LabError> {
         let bulletin = self.bulletins.get(&me).unwrap_or(&self.bulletin);
         let mut instance = json!({"name": format!("c{me}"), "listen": "127.0.0.1:0", "bulletin": bulletin,
             "seed": u64::from(me) + 1, "settings": self.settings});
-        if let Some(keys) = &self.shares {
+        if let Some(keys) = &self.fleet_settings {
             instance["fleet"] = keys.clone();
             instance["fleet"]["listen"] = json!(self.mesh.listens_at(me));
             instance["fleet"]["peers"] = json!(self.mesh.peers_of(me));
             instance["fleet"]["me"] = json!(me);
         }
-        if let Some(keys) = &self.store {
+        if let Some(keys) = &self.store_settings {
             instance["store"] = keys.clone();
-            instance["store"]["file"] = json!(self.records(me));
+            instance["store"]["file"] = json!(self.record_file(me));
         }
         let process = Process::start(&self.program, self.folder.path(), me, &instance).await?;
         self.each.insert(me, process);
@@ -196,7 +196,7 @@
     }
 
     /// Where the callers of a controller connect.
-    pub fn at(&self, me: u16) -> Option<SocketAddr> {
+    pub fn client_address(&self, me: u16) -> Option<SocketAddr> {
         self.each.get(&me).map(|process| process.at)
     }
 
@@ -213,7 +213,7 @@
     }
 
     /// Stops a controller in its tracks, or lets it go on.
-    pub fn stall(&self, me: u16, stalls: bool) -> Result<(), LabError> {
+    pub fn suspend(&self, me: u16, stalls: bool) -> Result<(), LabError> {
         let signal = if stalls { Signal::STOP } else { Signal::CONT };
         let process = self.each.get(&me).and_then(|p| Pid::from_raw(i32::try_from(p.agent.pid).ok()?));
         let Some(pid) = process else { return Err(LabError::Serves(format!("c{me} does not run"))) };
@@ -230,16 +230,16 @@
     }
 
     /// A controller's figures by name, without their common beginning; none where it does not answer.
-    pub async fn figures(&self, me: u16) -> BTreeMap<String, u64> {
+    pub async fn metrics(&self, me: u16) -> BTreeMap<String, u64> {
         match self.each.get(&me) {
-            Some(process) => process.figures().await,
+            Some(process) => process.metrics().await,
             None => BTreeMap::new(),
         }
     }
 
     /// The newest observation of a call server that a controller reports.
     pub async fn view(&self, me: u16, host: &str) -> Option<ReportedObservation> {
-        let figures = self.figures(me).await;
+        let figures = self.metrics(me).await;
         let figure = |name: &str| figures.get(&format!("fleet.server.{host}.{name}")).copied();
         Some(ReportedObservation {
             wait_ms: figure("wait_ms")?,
@@ -250,10 +250,15 @@
     }
 
     /// Waits until a controller's figures are as wanted; panics, with what they were last, where they never are.
-    pub async fn until_figures(&self, what: &str, me: u16, wanted: impl Fn(&BTreeMap<String, u64>) -> bool) {
+    pub async fn wait_for_metrics(
+        &self,
+        what: &str,
+        me: u16,
+        wanted: impl Fn(&BTreeMap<String, u64>) -> bool,
+    ) {
         let end = tokio::time::Instant::now() + WAIT_TIMEOUT;
         loop {
-            let figures = self.figures(me).await;
+            let figures = self.metrics(me).await;
             if wanted(&figures) {
                 return;
             }
@@ -263,7 +268,7 @@
     }
 
     /// Waits until a controller's view of a call server is as wanted; panics, with what it held last, where it never is.
-    pub async fn until(
+    pub async fn wait_for_view(
         &self,
         what: &str,
         me: u16,
--- a/crates/lockpoint-lab/src/fleet/real.rs
+++ b/crates/lockpoint-lab/src/fleet/real.rs
@@ -59,7 +59,9 @@
                     Some(Watch { key, origin: me, received_at: BTreeMap::new() });
                 let full = "P-Reason: queue_long\r\nP-Line-Ms: 3000\r\n";
                 *all[usize::from(no)].does.borrow_mut() = Does::Refuse(503, full.into());
-                let at = fleet.at(me).ok_or_else(|| LabError::Serves(format!("c{me} does not run")))?;
+                let at = fleet
+                    .client_address(me)
+                    .ok_or_else(|| LabError::Serves(format!("c{me} does not run")))?;
                 let caller = Caller::connect(&world, "caller", at).await;
                 let sid = Sid::from_number(0x5000 + u64::from(no)).to_string();
                 caller.open(&sid, 5_000, no, "v=0\r\n").await;
--- a/crates/lockpoint-lab/src/fleet/sim.rs
+++ b/crates/lockpoint-lab/src/fleet/sim.rs
@@ -17,7 +17,7 @@
     /// Share of the datagrams that are lost.
     pub loss: f64,
     /// Share of the datagrams that are duplicated.
-    pub twice: f64,
+    pub duplication: f64,
     /// The smallest and the largest one-way latency.
     pub latency: (Span, Span),
     /// Partition: a controller receives only from its own group. Empty: all are in group 0.
@@ -29,7 +29,7 @@
 impl Default for Links {
     fn default() -> Self {
         let latency = (Span::from_millis(1), Span::from_millis(13));
-        Links { loss: 0.0, twice: 0.0, latency, groups: Vec::new(), cut: BTreeSet::new() }
+        Links { loss: 0.0, duplication: 0.0, latency, groups: Vec::new(), cut: BTreeSet::new() }
     }
 }
 
@@ -45,7 +45,7 @@
         if group(from) != group(to) || self.cut.contains(&(from, to)) || chance(rng) < self.loss {
             return Vec::new();
         }
-        let copies = 1 + usize::from(chance(rng) < self.twice);
+        let copies = 1 + usize::from(chance(rng) < self.duplication);
         let (least, most) = self.latency;
         (0..copies).map(|_| Span(least.0 + most.saturating_sub(least).scale(chance(rng)).0)).collect()
     }
@@ -115,7 +115,7 @@
     }
 
     /// Suspends a controller; datagrams that arrive meanwhile wait for it.
-    pub fn stall(&mut self, who: u16, how_long: Span) {
+    pub fn suspend(&mut self, who: u16, how_long: Span) {
         self.stalled.insert(who, self.now.plus(how_long));
         self.schedule(who);
     }
@@ -131,12 +131,12 @@
     }
 
     /// Advances the time.
-    pub fn pass(&mut self, how_long: Span) {
-        self.until(self.now.plus(how_long), |_| false);
+    pub fn advance(&mut self, how_long: Span) {
+        self.run_until(self.now.plus(how_long), |_| false);
     }
 
     /// Advances the time until `done` holds or `end` is reached; `true`: it holds.
-    pub fn until(&mut self, end: Time, done: impl Fn(&Sim) -> bool) -> bool {
+    pub fn run_until(&mut self, end: Time, done: impl Fn(&Sim) -> bool) -> bool {
         loop {
             if done(self) {
                 return true;
@@ -197,7 +197,7 @@
     let holds = |sim: &Sim, no: u16| sim.view(no, key).is_some_and(|s| s.origin == who && s.silent == silent);
     while !missing.is_empty() {
         let wanted = missing.clone();
-        if !sim.until(from.plus(limit), |sim| wanted.iter().any(|no| holds(sim, *no))) {
+        if !sim.run_until(from.plus(limit), |sim| wanted.iter().any(|no| holds(sim, *no))) {
             break;
         }
         let there: Vec<u16> = missing.iter().copied().filter(|no| holds(sim, *no)).collect();
--- a/crates/lockpoint-lab/src/scale/real.rs
+++ b/crates/lockpoint-lab/src/scale/real.rs
@@ -146,7 +146,7 @@
             self.drive_for(ASK_EVERY).await;
             let mut least = others;
             for process in &self.processes {
-                let figures = process.figures().await;
+                let figures = process.metrics().await;
                 least = least.min(figures.get("fleet.peers_alive").copied().unwrap_or(0));
             }
             if least == others {
@@ -184,7 +184,7 @@
                 self.place_calls(callers).await;
             }
             for number in 0..real {
-                let figures = self.processes[number].figures().await;
+                let figures = self.processes[number].metrics().await;
                 let lost = figures.get("fleet.peers_lost").copied().unwrap_or(0);
                 let (now, member) = (self.simulation.now, number as u16);
                 false_suspicions = false_suspicions.max(lost.saturating_sub(1));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,7 +16,7 @@
     let mut times = Vec::new();
     for seed in 0..seeds {
         let mut sim = Sim::new(controllers, seed, links.clone(), &FleetConfig::default());
-        sim.pass(ms(3_000));
+        sim.advance(ms(3_000));
         for time in staleness(&mut sim, (seed % u64::from(controllers)) as u16, SERVER, true, ms(5_000)) {
             times.push(time.unwrap_or_else(|| panic!("seed {seed}: a peer never receives it")).0 / 1_000);
         }
@@ -39,7 +39,7 @@
     #[case] p99_bound_ms: u64,
     #[case] max_bound_ms: u64,
 ) {
-    let links = Links { loss, twice: 0.02, ..Links::default() };
+    let links = Links { loss, duplication: 0.02, ..Links::default() };
     let (p50, p99, max) = propagation_times(controllers, &links, 12);
     println!("{controllers} controllers, loss {loss}: p50 {p50} p99 {p99} max {max} ms, seeds 0 to 11");
     assert!(p99 <= p99_bound_ms, "p99 {p99} ms");
@@ -56,7 +56,7 @@
                 let wait = ms((step + u64::from(controller)) % 7 * 200);
                 sim.observe(controller, Key(u32::try_from(step % 10).expect("small")), wait, step % 3 == 0);
             }
-            sim.pass(ms(100));
+            sim.advance(ms(100));
         }
         let max = sim.bytes().into_iter().max().expect("at least one controller");
         // Ten seconds at the limit, and an initial burst of one second's worth.
@@ -67,19 +67,20 @@
 #[test]
 fn both_sides_of_a_partition_keep_their_observations_and_converge_after_it_heals() {
     for seed in 0..8 {
-        let mut sim = Sim::new(20, seed, Links { twice: 0.05, ..Links::default() }, &FleetConfig::default());
+        let mut sim =
+            Sim::new(20, seed, Links { duplication: 0.05, ..Links::default() }, &FleetConfig::default());
         sim.links.groups = (0..20).map(|no| u8::from(no >= 10)).collect();
-        sim.pass(ms(2_000));
+        sim.advance(ms(2_000));
         sim.observe(3, SERVER, ms(0), true);
-        sim.pass(ms(200));
+        sim.advance(ms(200));
         sim.observe(15, SERVER, ms(10), false);
-        sim.pass(ms(1_500));
+        sim.advance(ms(1_500));
         let silent = |sim: &Sim, no| sim.view(no, SERVER).map(|s| s.silent);
         assert!((0..10).all(|no| silent(&sim, no) == Some(true)), "seed {seed}");
         assert!((10..20).all(|no| silent(&sim, no) == Some(false)), "seed {seed}");
         sim.links.groups.clear();
         let healed = sim.now;
-        let agreed = sim.until(healed.plus(ms(2_500)), |sim| {
+        let agreed = sim.run_until(healed.plus(ms(2_500)), |sim| {
             (0..20).all(|no| sim.view(no, SERVER).map(|s| (s.origin, s.silent)) == Some((15, false)))
         });
         assert!(agreed, "seed {seed}");
@@ -89,19 +90,20 @@
 #[test]
 fn forwarded_observations_expire_and_never_appear_younger_than_they_are() {
     for seed in 0..8 {
-        let mut sim = Sim::new(30, seed, Links { twice: 0.1, ..Links::default() }, &FleetConfig::default());
+        let mut sim =
+            Sim::new(30, seed, Links { duplication: 0.1, ..Links::default() }, &FleetConfig::default());
         sim.observe(0, SERVER, ms(0), true);
-        sim.pass(ms(60));
+        sim.advance(ms(60));
         sim.observe(1, SERVER, ms(0), false);
         let observed_at = sim.now;
         for _ in 0..40 {
-            sim.pass(ms(100));
+            sim.advance(ms(100));
             for no in 0..30 {
                 let dated = sim.view(no, SERVER).map(|s| s.observed_at).filter(|at| *at > observed_at);
                 assert!(dated.is_none(), "seed {seed}: controller {no} dates it later than it was observed");
             }
         }
-        sim.pass(ms(2_000));
+        sim.advance(ms(2_000));
         assert!(
             (0..30).all(|no| sim.view(no, SERVER).is_none()),
             "seed {seed}: a stale observation is still in use"
@@ -112,17 +114,17 @@
 #[test]
 fn a_suspended_controller_ignores_stale_observations() {
     let mut sim = Sim::new(6, 1, Links::default(), &FleetConfig::default());
-    sim.pass(ms(3_000));
+    sim.advance(ms(3_000));
     // Every link has to carry datagrams first, so that delay is detected.
     for controller in 0..6 {
         sim.observe(controller, Key(100 + u32::from(controller)), ms(0), false);
-        sim.pass(ms(2_500));
+        sim.advance(ms(2_500));
     }
-    sim.stall(5, ms(8_000));
+    sim.suspend(5, ms(8_000));
     sim.observe(0, SERVER, ms(0), true);
-    sim.pass(ms(7_900));
+    sim.advance(ms(7_900));
     assert!(sim.view(5, SERVER).is_none());
-    sim.pass(ms(300));
+    sim.advance(ms(300));
     assert!(sim.view(5, SERVER).is_none(), "an observation that is 8 s old was accepted");
 }
 
--- a/tests/fleet_processes.rs
+++ b/tests/fleet_processes.rs
@@ -53,8 +53,12 @@
     async fn call(&mut self, me: u16) -> Vec<String> {
         self.calls += 1;
         let sid = Sid::from_number(0x1000 + self.calls).to_string();
-        let caller =
-            Caller::connect(&self.world, "caller", self.fleet.at(me).expect("the controller runs")).await;
+        let caller = Caller::connect(
+            &self.world,
+            "caller",
+            self.fleet.client_address(me).expect("the controller runs"),
+        )
+        .await;
         caller.open(&sid, 5_000, 1, "v=0\r\n").await;
         self.world.answer(&sid).await;
         let all = self.world.all().into_iter();
@@ -86,7 +90,10 @@
         // The reported wait is long enough not to elapse during the test, even on a busy machine.
         setup.observe_full_for(0, 60_000).await;
         for other in 1..4 {
-            setup.fleet.until("the peer receives the observation", other, "s1", reported_full_by(0)).await;
+            setup
+                .fleet
+                .wait_for_view("the peer receives the observation", other, "s1", reported_full_by(0))
+                .await;
             assert_eq!(setup.call(other).await, ["s0"], "controller {other}");
         }
         assert!(setup.fleet.stop().await);
@@ -101,7 +108,7 @@
         assert!(setup.fleet.view(0, "s1").await.is_none());
         assert_eq!(setup.call(1).await, ["s1"]);
         assert_eq!(
-            setup.fleet.mesh.passed.get() + setup.fleet.mesh.lost.get(),
+            setup.fleet.mesh.delivered.get() + setup.fleet.mesh.lost.get(),
             0,
             "datagrams were sent between controllers"
         );
@@ -116,17 +123,17 @@
         let lost = |n: u64| move |f: &BTreeMap<String, u64>| f.get("fleet.peers_lost") == Some(&n);
         for no in 0..6 {
             let all_alive = |f: &BTreeMap<String, u64>| f.get("fleet.peers_alive") == Some(&5);
-            setup.fleet.until_figures("all peers are alive", no, all_alive).await;
+            setup.fleet.wait_for_metrics("all peers are alive", no, all_alive).await;
         }
         setup.fleet.mesh.links.borrow_mut().split(3, 6);
         for no in 0..6 {
-            setup.fleet.until_figures("three peers are lost", no, lost(3)).await;
+            setup.fleet.wait_for_metrics("three peers are lost", no, lost(3)).await;
         }
         setup.observe_full(0).await;
         for same_side in [1, 2] {
             setup
                 .fleet
-                .until(
+                .wait_for_view(
                     "controllers on the same side receive the observation",
                     same_side,
                     "s1",
@@ -139,16 +146,16 @@
         let not_full = |reported: Option<ReportedObservation>| {
             reported.is_some_and(|t| t.origin == 4 && t.wait_ms < 1_000)
         };
-        setup.fleet.until("the other side receives its own observation", 5, "s1", not_full).await;
+        setup.fleet.wait_for_view("the other side receives its own observation", 5, "s1", not_full).await;
         assert!(!not_full(setup.fleet.view(1, "s1").await), "an observation crossed the partition");
         assert!(setup.fleet.mesh.lost.get() > 0);
         setup.fleet.mesh.links.borrow_mut().groups.clear();
         // All controllers converge to the newer observation.
         for no in 0..6 {
-            setup.fleet.until("all controllers have the newer observation", no, "s1", not_full).await;
+            setup.fleet.wait_for_view("all controllers have the newer observation", no, "s1", not_full).await;
         }
         for no in 0..6 {
-            setup.fleet.until_figures("all peers are alive again", no, lost(0)).await;
+            setup.fleet.wait_for_metrics("all peers are alive again", no, lost(0)).await;
         }
         // Controller 1, not the one that was refused by s1: that one's throttle may still keep calls away from s1.
         assert_eq!(setup.call(1).await, ["s1"]);
@@ -162,14 +169,14 @@
         let mut setup = Setup::start(5, 4).await;
         {
             let mut links = setup.fleet.mesh.links.borrow_mut();
-            (links.loss, links.twice) = (0.3, 0.1);
+            (links.loss, links.duplication) = (0.3, 0.1);
             links.cut.extend([(0, 1), (0, 2), (3, 4)]);
         }
         setup.observe_full(0).await;
         for other in 1..5 {
             setup
                 .fleet
-                .until(
+                .wait_for_view(
                     "the peer receives the observation, possibly through another one",
                     other,
                     "s1",
@@ -188,19 +195,28 @@
         // Every link has to carry datagrams first, so that delay is detected.
         for (me, other) in [(0, 2), (1, 2)] {
             setup.observe_full(me).await;
-            setup.fleet.until("the peer receives the observation", other, "s1", reported_full_by(me)).await;
+            setup
+                .fleet
+                .wait_for_view("the peer receives the observation", other, "s1", reported_full_by(me))
+                .await;
             for no in 0..3 {
-                setup.fleet.until("the observation expires", no, "s1", |reported| reported.is_none()).await;
+                setup
+                    .fleet
+                    .wait_for_view("the observation expires", no, "s1", |reported| reported.is_none())
+                    .await;
             }
         }
-        let received = setup.fleet.figures(2).await["fleet.received"];
-        setup.fleet.stall(2, true).expect("the controller runs");
+        let received = setup.fleet.metrics(2).await["fleet.received"];
+        setup.fleet.suspend(2, true).expect("the controller runs");
         setup.observe_full(0).await;
-        setup.fleet.until("the other peer receives the observation", 1, "s1", reported_full_by(0)).await;
-        setup.fleet.until("the observation expires", 1, "s1", |reported| reported.is_none()).await;
-        setup.fleet.stall(2, false).expect("the controller runs");
+        setup
+            .fleet
+            .wait_for_view("the other peer receives the observation", 1, "s1", reported_full_by(0))
+            .await;
+        setup.fleet.wait_for_view("the observation expires", 1, "s1", |reported| reported.is_none()).await;
+        setup.fleet.suspend(2, false).expect("the controller runs");
         let end = tokio::time::Instant::now() + std::time::Duration::from_secs(20);
-        while setup.fleet.figures(2).await["fleet.received"] <= received {
+        while setup.fleet.metrics(2).await["fleet.received"] <= received {
             assert!(
                 tokio::time::Instant::now() < end,
                 "the resumed process did not read its queued datagrams"
@@ -219,10 +235,13 @@
         let mut setup = Setup::start_with(3, Some(json!({"max_age_ms": 60_000})), 6).await;
         setup.fleet.kill(2).await;
         setup.observe_full(0).await;
-        setup.fleet.until("the peer receives the observation", 1, "s1", reported_full_by(0)).await;
-        setup.fleet.begin(2).await.expect("a restart");
+        setup.fleet.wait_for_view("the peer receives the observation", 1, "s1", reported_full_by(0)).await;
+        setup.fleet.start_controller(2).await.expect("a restart");
         // The observation is no longer forwarded; anti-entropy delivers it.
-        setup.fleet.until("the new incarnation receives the observation", 2, "s1", reported_full_by(0)).await;
+        setup
+            .fleet
+            .wait_for_view("the new incarnation receives the observation", 2, "s1", reported_full_by(0))
+            .await;
         assert!(setup.fleet.stop().await);
     });
 }
@@ -233,13 +252,13 @@
         let mut setup = Setup::start(2, 7).await;
         setup.fleet.mesh.links.borrow_mut().latency = (Span::from_millis(5), Span::from_millis(5));
         setup.observe_full(0).await;
-        setup.fleet.until("the peer receives the observation", 1, "s1", reported_full_by(0)).await;
-        setup.fleet.until("the observation expires", 1, "s1", |reported| reported.is_none()).await;
+        setup.fleet.wait_for_view("the peer receives the observation", 1, "s1", reported_full_by(0)).await;
+        setup.fleet.wait_for_view("the observation expires", 1, "s1", |reported| reported.is_none()).await;
         setup.fleet.mesh.links.borrow_mut().latency = (Span::from_millis(1_500), Span::from_millis(1_500));
         setup.observe_full(1).await;
         let late = setup
             .fleet
-            .until("the peer receives the delayed observation", 0, "s1", reported_full_by(1))
+            .wait_for_view("the peer receives the delayed observation", 0, "s1", reported_full_by(1))
             .await
             .expect("an observation");
         assert!(late.age_ms >= 1_400, "{late:?}");
@@ -266,8 +285,8 @@
         let fleet = Processes::prepare(Path::new(PROGRAM), 3, bulletin.at, &settings(), 8).await;
         let (mut fleet, calls) = (fleet.expect("a fleet"), 0);
         fleet.bulletins.insert(2, late.at);
-        fleet.shares = Some(json!({"max_age_ms": 60_000}));
-        fleet.begin_all().await.expect("they serve");
+        fleet.fleet_settings = Some(json!({"max_age_ms": 60_000}));
+        fleet.start_all().await.expect("they serve");
         let mut setup = Setup { world, servers, fleet, calls };
         let line = |setup: &Setup, n: usize, state| {
             host(&setup.servers[n].name, setup.servers[n].at, n as u16, state)
@@ -281,16 +300,16 @@
             let avoided = |f: &BTreeMap<String, u64>| f.get("members_unavailable") == Some(&1);
             setup
                 .fleet
-                .until_figures("the other controllers get their directory's entry", other, avoided)
+                .wait_for_metrics("the other controllers get their directory's entry", other, avoided)
                 .await;
         }
         assert_eq!(setup.call(2).await, ["s1"]);
         setup.fleet.mesh.links.borrow_mut().groups.clear();
-        setup.fleet.until_figures("controller 2 is warned", 2, warned).await;
+        setup.fleet.wait_for_metrics("controller 2 is warned", 2, warned).await;
         assert_eq!(setup.call(2).await, ["s0"]);
         // Its own directory answers late and with another entry, which takes precedence.
         late.tell(false, vec![line(&setup, 1, "ready")]);
-        setup.fleet.until_figures("its own directory has ended the warning", 2, |f| !warned(f)).await;
+        setup.fleet.wait_for_metrics("its own directory has ended the warning", 2, |f| !warned(f)).await;
         assert_eq!(setup.call(2).await, ["s1"]);
         assert!(setup.fleet.stop().await);
     });
@@ -324,7 +343,7 @@
         setup.fleet.mesh.links.borrow_mut().loss = 0.3;
         let mut callers = Vec::new();
         for me in 0..4 {
-            let at = setup.fleet.at(me).expect("the controller runs");
+            let at = setup.fleet.client_address(me).expect("the controller runs");
             callers.push(Caller::connect(&setup.world, "caller", at).await);
         }
         // 100 calls per second, all to s1, two thirds of them through controller 0. At least 400 calls, then until
@@ -337,7 +356,7 @@
             calls += 1;
             tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             if calls >= 400 && calls.is_multiple_of(50) {
-                let borrowed = setup.fleet.figures(0).await.get("fleet.permits_borrowed_256ths").copied();
+                let borrowed = setup.fleet.metrics(0).await.get("fleet.permits_borrowed_256ths").copied();
                 if borrowed > Some(0) {
                     break;
                 }
@@ -361,7 +380,7 @@
     on_one_thread(async {
         let mut setup = Setup::start(2, 10).await;
         setup.observe_full_for(0, 60_000).await;
-        setup.fleet.until("the peer receives the observation", 1, "s1", reported_full_by(0)).await;
+        setup.fleet.wait_for_view("the peer receives the observation", 1, "s1", reported_full_by(0)).await;
         let control = setup.fleet.control(1).expect("the controller runs").to_owned();
         let tool = |json: bool| {
             let mut command = std::process::Command::new(PROGRAM);
@@ -394,7 +413,7 @@
         let port = setup.fleet.mesh.listens_at(1).port();
         // Any process that binds to a free port of 127.0.0.1 may get this one.
         let other = std::net::UdpSocket::bind(("127.0.0.1", port)).expect("the port is free on 127.0.0.1");
-        setup.fleet.begin(1).await.expect("a restart");
+        setup.fleet.start_controller(1).await.expect("a restart");
         drop(other);
         assert!(setup.fleet.stop().await);
     });
--- a/tests/recovery_processes.rs
+++ b/tests/recovery_processes.rs
@@ -38,13 +38,14 @@
         bulletin.tell(true, entries.collect());
         let fleet = Processes::prepare(Path::new(PROGRAM), controllers, bulletin.at, &settings(), seed).await;
         let mut fleet = fleet.expect("a fleet");
-        (fleet.shares, fleet.store) = (Some(json!({})), Some(json!({})));
-        fleet.begin_all().await.expect("they serve");
+        (fleet.fleet_settings, fleet.store_settings) = (Some(json!({})), Some(json!({})));
+        fleet.start_all().await.expect("they serve");
         Setup { world, servers, fleet, calls: 0 }
     }
 
     async fn caller(&self, me: u16) -> Caller {
-        Caller::connect(&self.world, "caller", self.fleet.at(me).expect("the controller runs")).await
+        Caller::connect(&self.world, "caller", self.fleet.client_address(me).expect("the controller runs"))
+            .await
     }
 
     /// Establishes a call to the call server of a cell, with further attempts while the controller is recovering.
@@ -66,8 +67,8 @@
     async fn wait_until_persisted(&self, me: u16, changes: u64) {
         let persisted =
             |f: &std::collections::BTreeMap<String, u64>| f.get("store.changes") >= Some(&changes);
-        self.fleet.until_figures("the changes are persisted", me, persisted).await;
-        let batches = self.fleet.figures(me).await.get("store.batches").copied();
+        self.fleet.wait_for_metrics("the changes are persisted", me, persisted).await;
+        let batches = self.fleet.metrics(me).await.get("store.batches").copied();
         assert!(batches > Some(0));
     }
 
@@ -103,7 +104,7 @@
         let mut restarts = Vec::new();
         for me in [2, 0, 1] {
             restarts.push((me, Instant::now()));
-            setup.fleet.begin(me).await.expect("a restart");
+            setup.fleet.start_controller(me).await.expect("a restart");
             callers.push((me, setup.caller(me).await));
         }
         // Releases are sent to a client connection once it has sent a set-up.
@@ -149,7 +150,7 @@
         let sid = setup.establish_call(&caller, 1).await;
         setup.wait_until_persisted(0, 3).await;
         setup.fleet.kill(0).await;
-        setup.fleet.begin(0).await.expect("a restart");
+        setup.fleet.start_controller(0).await.expect("a restart");
         let caller = setup.caller(0).await;
         caller.close(&sid, 16).await;
         setup
@@ -182,7 +183,7 @@
         setup.fleet.kill(0).await;
         setup.fleet.kill(1).await;
         let lost = Instant::now();
-        setup.fleet.begin(0).await.expect("a restart");
+        setup.fleet.start_controller(0).await.expect("a restart");
         // The caller repeats the set-up, each time as a new call, until one is established.
         let caller = setup.caller(0).await;
         setup.establish_call(&caller, 1).await;
@@ -203,7 +204,7 @@
         // The bulletin no longer answers: its address accepts connections, but sends nothing.
         let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         setup.fleet.bulletins.insert(0, silent.local_addr().expect("an address"));
-        setup.fleet.begin(0).await.expect("a restart");
+        setup.fleet.start_controller(0).await.expect("a restart");
         let caller = setup.caller(0).await;
         setup.establish_call(&caller, 1).await;
         assert!(setup.fleet.stop().await);
@@ -217,7 +218,7 @@
         let caller = setup.caller(0).await;
         let sid = setup.establish_call(&caller, 1).await;
         setup.wait_until_persisted(0, 3).await;
-        let records = setup.fleet.records(0);
+        let records = setup.fleet.record_file(0);
         let tool = |args: &[&str]| {
             let mut command = std::process::Command::new(PROGRAM);
             command.arg("store").args(args).arg(&records).output().expect("the command runs")
@@ -237,7 +238,8 @@
         let info: Value = serde_json::from_slice(&tool(&["info", "--json"]).stdout).expect("JSON");
         assert_eq!(info["items"], 3, "two directory entries and a call");
         std::fs::write(&records, "no records ".repeat(900)).expect("written");
-        let error_text = setup.fleet.begin(0).await.err().map(|error| error.to_string()).unwrap_or_default();
+        let error_text =
+            setup.fleet.start_controller(0).await.err().map(|error| error.to_string()).unwrap_or_default();
         assert!(error_text.contains("it has ended (exit status: 2)"), "{error_text}");
     });
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,7 +2,7 @@
 //! Alone in its process, so that no other test's memory counts.
 
 use lockpoint::interface::Span;
-use lockpoint_lab::fleet::driven::{Driven, DrivenConfig};
+use lockpoint_lab::fleet::core_simulation::{CoreSimulation, CoreSimulationConfig};
 use lockpoint_lab::processor::ProcessorConfig;
 
 const SEED: u64 = 19;
@@ -26,25 +26,25 @@
 fn an_hour_of_load_at_110_percent_does_not_swell_the_core() {
     println!("seed {SEED}");
     let processor = ProcessorConfig { capacity: BEARS / f64::from(SERVERS), ..ProcessorConfig::default() };
-    let mut world = Driven::new(DrivenConfig {
+    let mut world = CoreSimulation::new(CoreSimulationConfig {
         controllers: 1,
         servers: SERVERS,
         processor,
         load: 1.1,
         seed: SEED,
-        ..DrivenConfig::default()
+        ..CoreSimulationConfig::default()
     });
-    world.pass(FILLED);
+    world.advance(FILLED);
     let filled = resident();
-    world.pass(HOUR.saturating_sub(FILLED));
+    world.advance(HOUR.saturating_sub(FILLED));
     let grew = resident().saturating_sub(filled);
     println!(
         "stood {} refused {} grew {grew} bytes from {filled}",
-        world.tally.stood, world.tally.turned_away
+        world.counts.established, world.counts.refused
     );
     // The load was there: an hour of what the call servers bear, less what turning away costs.
-    assert!(world.tally.stood > (BEARS * 3_600.0 * 0.75) as u64, "stood {}", world.tally.stood);
-    assert!(world.tally.turned_away > 1_000, "refused {}", world.tally.turned_away);
+    assert!(world.counts.established > (BEARS * 3_600.0 * 0.75) as u64, "stood {}", world.counts.established);
+    assert!(world.counts.refused > 1_000, "refused {}", world.counts.refused);
     assert!(grew <= MAY_GROW, "grew {grew} bytes from {filled}");
-    assert!(world.open_calls(0) < 500, "open {}", world.open_calls(0));
+    assert!(world.pending_calls(0) < 500, "open {}", world.pending_calls(0));
 }
