--- a/crates/lockpoint-lab/src/fleet/crash.rs
+++ b/crates/lockpoint-lab/src/fleet/crash.rs
@@ -1,6 +1,7 @@
-//! Power losses of whole fleets of real controllers under load: all, half or one of them killed at once, started again in
-//! any order and late, some while the links are cut, some killed again while they come back. What counts is what the
-//! call servers and the callers saw. And how long it takes until service is back, and what the records cost.
+//! Simulates power losses of fleets of real controllers under load: all, half or one of them are killed at once and started
+//! again in random order and after random delays, some while the links are cut, some killed again during recovery. Checks
+//! what the call servers and the callers observed, and measures the time until service is restored and the cost of the
+//! records.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -27,69 +28,69 @@
 use crate::under_test::{beside, LabError};
 use crate::world::{What, World};
 
-/// How long calls stand in the mean.
-const HOLD_MS: u64 = 1_200;
-/// Under load before the power goes, and once all are back.
+/// Mean duration of a call.
+const CALL_DURATION_MS: u64 = 1_200;
+/// Time under load before the power loss, and after all controllers have restarted.
 const BEFORE: Duration = Duration::from_millis(1_500);
 const AFTER: Duration = Duration::from_millis(2_500);
-/// Between two calls that are asked for, over all controllers: two thirds of what the call servers bear.
-const EVERY: Duration = Duration::from_millis(4);
-/// What was said in the last moment before the power went may have been lost on its way.
-const LAST_MOMENT: Duration = Duration::from_millis(100);
-/// Nothing may leave for so long after a life that may have had an attempt out.
-const QUIET: Duration = Duration::from_millis(500);
-/// A release that is owed is said within this of the return of who owes it.
-const OWED: Duration = Duration::from_secs(8);
+/// Time between two calls, over all controllers: two thirds of the capacity of the call servers.
+const CALL_INTERVAL: Duration = Duration::from_millis(4);
+/// A message sent within this time of a power loss may have been lost in transit.
+const IN_TRANSIT: Duration = Duration::from_millis(100);
+/// A restarted controller may not send a set-up within this time, as its previous run may have had an attempt outstanding.
+const QUIET_AFTER_RESTART: Duration = Duration::from_millis(500);
+/// A pending release is sent within this time of the restart of its controller.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What is lost.
+/// The power-loss measurements.
 #[derive(Debug, Subcommand)]
 pub enum Crash {
-    /// Kill controllers of a fleet under load, by a seed; ends with `N passed, N failed`.
+    /// Kill random controllers of a fleet under load; ends with `N passed, N failed`.
     Fleet(Options),
-    /// Measure the way back: with so many calls standing, and what the records cost on this disk.
+    /// Measure the recovery time with many established calls, and the cost of the records on this disk.
     Return(Return),
 }
 
-/// Rounds of power losses.
+/// Options for rounds of power losses.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The first seed; each round has one of its own.
+    /// The first seed; each round uses the next one.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Rounds.
+    /// Number of rounds.
     #[arg(long, default_value_t = 50)]
     rounds: u64,
-    /// The program under test; the one beside this one where it is not said.
+    /// The program under test; by default the one in this program's directory.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Where the table goes.
+    /// Directory for the table.
     #[arg(long, default_value = "target/crash")]
     out: PathBuf,
 }
 
-/// Measurements of the way back.
+/// Options for the measurement of the recovery time.
 #[derive(Debug, Args)]
 pub struct Return {
-    /// Calls that stand when the power goes.
+    /// Calls established at the power loss.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 10_000, 100_000])]
     standing: Vec<u64>,
-    /// Controllers.
+    /// Number of controllers.
     #[arg(long, default_value_t = 4)]
     controllers: u16,
-    /// The program under test; the one beside this one where it is not said.
+    /// The program under test; by default the one in this program's directory.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Runs either.
+/// Runs the chosen measurement.
 pub async fn run(crash: &Crash) -> Result<bool, LabError> {
     match crash {
-        Crash::Fleet(options) => fleet(options).await,
-        Crash::Return(options) => way_back(options).await.map(|()| true),
+        Crash::Fleet(options) => power_losses(options).await,
+        Crash::Return(options) => recovery_time(options).await.map(|()| true),
     }
 }
 
-/// Who loses power, and what else goes wrong while they come back.
+/// Which controllers lose power, and the fault during their recovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 enum Kind {
@@ -129,18 +130,18 @@
     fleet: Processes,
     callers: BTreeMap<u16, Caller>,
     asked: u64,
-    /// When the power went, each time.
+    /// The times of the power losses.
     losses: Vec<Instant>,
 }
 
 impl Round {
-    async fn set(program: &Path, controllers: u16, seed: u64) -> Result<Round, LabError> {
+    async fn start(program: &Path, controllers: u16, seed: u64) -> Result<Round, LabError> {
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
         let mut servers = Vec::new();
         for n in 0..3 {
             let config = ProcessorConfig { capacity: 120.0, ..ProcessorConfig::default() };
-            let machine = Machine::new(config, HOLD_MS, seed.wrapping_add(n));
+            let machine = Machine::new(config, CALL_DURATION_MS, seed.wrapping_add(n));
             servers.push(SipServer::start(&world, &format!("s{n}"), Does::Model(machine)).await);
         }
         let lines = servers.iter().zip(0..).map(|(server, n)| host(&server.name, server.at, n, "ready"));
@@ -164,13 +165,13 @@
         }
     }
 
-    /// Puts load on those that are there.
-    async fn load(&mut self, how_long: Duration) {
-        self.load_every(EVERY, how_long).await;
+    /// Places calls at the running controllers.
+    async fn load(&mut self, duration: Duration) {
+        self.load_every(CALL_INTERVAL, duration).await;
     }
 
-    async fn load_every(&mut self, every: Duration, how_long: Duration) {
-        let end = Instant::now() + how_long;
+    async fn load_every(&mut self, every: Duration, duration: Duration) {
+        let end = Instant::now() + duration;
         let every = every * u32::try_from(self.callers.len().max(1)).unwrap_or(1);
         while Instant::now() < end {
             for (me, caller) in &self.callers {
@@ -196,20 +197,20 @@
     }
 }
 
-async fn round(program: &Path, kind: Kind, seed: u64) -> Result<Row, LabError> {
+async fn run_round(program: &Path, kind: Kind, seed: u64) -> Result<Row, LabError> {
     let rng = &mut Pcg64Mcg::seed_from_u64(seed);
     let controllers = 3 + (rng.next_u32() % 6) as u16;
-    let mut round = Round::set(program, controllers, seed).await?;
+    let mut round = Round::start(program, controllers, seed).await?;
     round.load(BEFORE).await;
-    let who: Vec<u16> = match kind {
+    let killed: Vec<u16> = match kind {
         Kind::Half => (0..controllers / 2).collect(),
         Kind::One => vec![(rng.next_u32() % u32::from(controllers)) as u16],
         _ => (0..controllers).collect(),
     };
     let lost = Instant::now();
-    round.kill(&who).await;
-    let all = who.len() == usize::from(controllers);
-    let stood_when_lost = round.servers.iter().map(|s| standing(s)).sum();
+    round.kill(&killed).await;
+    let all = killed.len() == usize::from(controllers);
+    let stood_when_lost = round.servers.iter().map(|s| established_calls(s)).sum();
     if kind == Kind::AllAndACallServer {
         round.servers[2].until_alone().await;
         round.servers[2].die();
@@ -217,7 +218,7 @@
     if kind == Kind::AllAndLinksCut {
         round.fleet.mesh.links.borrow_mut().split(controllers / 2, controllers);
     }
-    let mut order = who.clone();
+    let mut order = killed.clone();
     for at in (1..order.len()).rev() {
         order.swap(at, rng.next_u32() as usize % (at + 1));
     }
@@ -228,7 +229,7 @@
         first_start.get_or_insert_with(Instant::now);
         round.fleet.start_controller(me).await?;
         if std::mem::take(&mut again) {
-            // In the midst of its recovery, and from the records that it had then.
+            // Killed again during its recovery; the next run starts from the records written by then.
             round.kill(&[me]).await;
             order.insert(0, me);
             continue;
@@ -237,12 +238,12 @@
     }
     let back = Instant::now();
     let refused_before = round.world.count(|s| matches!(s.what, What::Close(42 | 34, _)));
-    // Full service: each that came back has set a call up.
+    // Full service: each restarted controller has established a call.
     let mut served: BTreeMap<u16, Instant> = BTreeMap::new();
     let end = back + Duration::from_secs(15);
-    while served.len() < who.len() && Instant::now() < end {
+    while served.len() < killed.len() && Instant::now() < end {
         round.load(Duration::from_millis(50)).await;
-        for me in &who {
+        for me in &killed {
             let name = format!("caller{me}");
             let ready = round.world.all().into_iter().filter(|s| s.at > back && s.who == name);
             let ready = ready.filter(|s| matches!(s.what, What::Ready(_))).map(|s| s.at).min();
@@ -254,11 +255,12 @@
     round.fleet.mesh.links.borrow_mut().groups.clear();
     round.load(AFTER).await;
     let refused = round.world.count(|s| matches!(s.what, What::Close(42 | 34, _))) - refused_before;
-    // The last calls end. Callers stay in use: one that says nothing for 5 s loses its connection, and releases wait.
-    round.load_every(EVERY * 20, Duration::from_millis(HOLD_MS * 6)).await;
-    let mut broken = broken(&round.world, &round.losses, first_start.unwrap_or(lost), back, all);
-    if served.len() < who.len() {
-        broken.push(format!("{} of {} came back to service", served.len(), who.len()));
+    // The last calls end. Callers keep placing calls: after 5 s without a message a caller's connection is closed, and
+    // releases for it would stay pending.
+    round.load_every(CALL_INTERVAL * 20, Duration::from_millis(CALL_DURATION_MS * 6)).await;
+    let mut broken = violated_rules(&round.world, &round.losses, first_start.unwrap_or(lost), back, all);
+    if served.len() < killed.len() {
+        broken.push(format!("{} of {} came back to service", served.len(), killed.len()));
     }
     let full = served.values().max().map_or(Duration::ZERO, |at| at.duration_since(back));
     let asked = usize::try_from(round.asked).unwrap_or(usize::MAX);
@@ -277,103 +279,115 @@
     })
 }
 
-fn standing(server: &SipServer) -> usize {
+fn established_calls(server: &SipServer) -> usize {
     match &*server.does.borrow() {
         Does::Model(machine) => machine.standing(),
         _ => 0,
     }
 }
 
-/// What a call was seen to do.
+/// What was observed of one call.
 #[derive(Default)]
-struct Story {
+struct CallHistory {
     /// Final answers to its caller.
     answers: usize,
-    stood: bool,
-    /// When a call server ended it, or died with it.
-    over: Option<Instant>,
-    at: Option<String>,
+    established: bool,
+    /// When its call server released it or died.
+    ended: Option<Instant>,
+    server: Option<String>,
     releases: Vec<Instant>,
-    out: usize,
-    most_out: usize,
+    outstanding: usize,
+    max_outstanding: usize,
 }
 
-/// The rules that were broken, each with its first case.
-fn broken(world: &World, losses: &[Instant], start: Instant, back: Instant, all: bool) -> Vec<String> {
-    let Some(&lost) = losses.first() else { return vec!["nothing was lost".to_owned()] };
-    let last_moment =
-        |at: Instant| losses.iter().any(|lost| (*lost - LAST_MOMENT..*lost + LAST_MOMENT).contains(&at));
-    let mut calls: BTreeMap<String, Story> = BTreeMap::new();
+/// Returns the rules that were violated, each with the number of cases and the first one.
+fn violated_rules(
+    world: &World,
+    losses: &[Instant],
+    start: Instant,
+    back: Instant,
+    all: bool,
+) -> Vec<String> {
+    let Some(&lost) = losses.first() else { return vec!["no controller was killed".to_owned()] };
+    let in_transit =
+        |at: Instant| losses.iter().any(|lost| (*lost - IN_TRANSIT..*lost + IN_TRANSIT).contains(&at));
+    let mut calls: BTreeMap<String, CallHistory> = BTreeMap::new();
     let mut found: BTreeMap<&'static str, (usize, String)> = BTreeMap::new();
-    let mut fault = |rule: &'static str, sid: &str| {
+    let mut violation = |rule: &'static str, sid: &str| {
         let entry = found.entry(rule).or_insert_with(|| (0, sid.to_owned()));
         entry.0 += 1;
     };
     for seen in world.all() {
         if matches!(seen.what, What::Died) {
-            for story in calls.values_mut().filter(|c| c.at.as_deref() == Some(&seen.who) && c.over.is_none())
+            for call in
+                calls.values_mut().filter(|c| c.server.as_deref() == Some(&seen.who) && c.ended.is_none())
             {
-                story.over = Some(seen.at);
+                call.ended = Some(seen.at);
             }
         }
         if matches!(seen.what, What::Tipped) {
-            fault("a cold call server fell over", &seen.who);
+            violation("a cold call server fell over", &seen.who);
         }
         if seen.sid.is_empty() {
             continue;
         }
-        let story = calls.entry(seen.sid.clone()).or_default();
+        let call = calls.entry(seen.sid.clone()).or_default();
         match &seen.what {
             What::SetUp(..) => {
-                if all && seen.at > lost && seen.at < start + QUIET {
-                    fault("a set-up left within 500 ms of a life before", &seen.sid);
+                if all && seen.at > lost && seen.at < start + QUIET_AFTER_RESTART {
+                    violation("a set-up was sent within 500 ms of a restart", &seen.sid);
                 }
-                story.out += 1;
-                story.most_out = story.most_out.max(story.out);
-                story.at = Some(seen.who.clone());
+                call.outstanding += 1;
+                call.max_outstanding = call.max_outstanding.max(call.outstanding);
+                call.server = Some(seen.who.clone());
             }
-            What::Answered(_) | What::Refused | What::Cancel => story.out = story.out.saturating_sub(1),
-            What::Ready(_) => (story.stood, story.answers) = (true, story.answers + 1),
-            What::Close(..) if story.stood => story.releases.push(seen.at),
-            What::Close(..) => story.answers += 1,
-            What::Released => story.over = Some(seen.at),
+            What::Answered(_) | What::Refused | What::Cancel => {
+                call.outstanding = call.outstanding.saturating_sub(1)
+            }
+            What::Ready(_) => (call.established, call.answers) = (true, call.answers + 1),
+            What::Close(..) if call.established => call.releases.push(seen.at),
+            What::Close(..) => call.answers += 1,
+            What::Released => call.ended = Some(seen.at),
             _ => {}
         }
     }
-    let seen_until = Instant::now();
-    for (sid, story) in &calls {
-        // When it was over and its releases were said, against the moment when the power went.
+    let observed_until = Instant::now();
+    for (sid, call) in &calls {
+        // When the call ended and its releases were sent, in milliseconds relative to the first power loss.
         let ms = |at: &Instant| match at.checked_duration_since(lost) {
             Some(after) => format!("+{}", after.as_millis()),
             None => format!("-{}", lost.duration_since(*at).as_millis()),
         };
-        let said: Vec<String> = story.releases.iter().map(&ms).collect();
-        let over = story.over.as_ref().map_or_else(|| "stands".to_owned(), &ms);
-        let sid =
-            &format!("{sid} at {} over {over} said [{}]", story.at.as_deref().unwrap_or("?"), said.join(" "));
-        if story.answers > 1 {
-            fault("two final answers", sid);
+        let released: Vec<String> = call.releases.iter().map(&ms).collect();
+        let ended = call.ended.as_ref().map_or_else(|| "established".to_owned(), &ms);
+        let sid = &format!(
+            "{sid} at {} ended {ended} released [{}]",
+            call.server.as_deref().unwrap_or("?"),
+            released.join(" ")
+        );
+        if call.answers > 1 {
+            violation("two final answers", sid);
         }
-        if story.most_out > 1 {
-            fault("two attempts out at once", sid);
+        if call.max_outstanding > 1 {
+            violation("two attempts outstanding at once", sid);
         }
-        if !story.stood {
+        if !call.established {
             continue;
         }
-        match (story.over, story.releases.as_slice()) {
+        match (call.ended, call.releases.as_slice()) {
             (None, []) => {}
-            (None, _) => fault("a call that stands was released", sid),
-            // The round ends while it is on its way.
-            (Some(over), []) if seen_until.duration_since(over) < Duration::from_secs(1) => {}
-            (Some(over), []) if last_moment(over) => {}
-            (Some(_), []) => fault("a release that is owed was never said", sid),
-            (Some(over), [first, rest @ ..]) => {
-                if first.duration_since(over.max(back).min(*first)) > OWED {
-                    fault("a release came after 8 s", sid);
+            (None, _) => violation("an established call was released", sid),
+            // The round ends while the release is in transit.
+            (Some(ended), []) if observed_until.duration_since(ended) < Duration::from_secs(1) => {}
+            (Some(ended), []) if in_transit(ended) => {}
+            (Some(_), []) => violation("a pending release was never sent", sid),
+            (Some(ended), [first, rest @ ..]) => {
+                if first.duration_since(ended.max(back).min(*first)) > RELEASE_TIMEOUT {
+                    violation("a release came after 8 s", sid);
                 }
-                // The last word of a life may be said again by the next one, which cannot know.
+                // A release sent just before the power loss may be sent again by the next run, which has no record of it.
                 if rest.iter().any(|at| *first > lost || *at < lost) {
-                    fault("a release was said twice", sid);
+                    violation("a release was sent twice", sid);
                 }
             }
         }
@@ -381,7 +395,7 @@
     found.into_iter().map(|(rule, (times, sid))| format!("{rule} ({times} times, first {sid})")).collect()
 }
 
-async fn fleet(options: &Options) -> Result<bool, LabError> {
+async fn power_losses(options: &Options) -> Result<bool, LabError> {
     let program = options.program.clone().unwrap_or_else(|| beside("lockpoint"));
     println!("seeds from {}, {} rounds", options.seed, options.rounds);
     println!(
@@ -391,7 +405,7 @@
     let mut rows = Vec::new();
     for no in 0..options.rounds {
         let kind = KINDS[usize::try_from(no).unwrap_or(0) % KINDS.len()];
-        let row = round(&program, kind, options.seed + no).await?;
+        let row = run_round(&program, kind, options.seed + no).await?;
         println!(
             "{:>5} {:>26} {:>11} {:>6} {:>6} {:>10} {:>10} {:>8}  {}",
             row.seed,
@@ -419,8 +433,9 @@
     Ok(failed == 0)
 }
 
-/// The way back of one, half and all controllers, each with so many calls standing; then what the records cost.
-async fn way_back(options: &Return) -> Result<(), LabError> {
+/// Measures the recovery of one, half and all controllers, each with the given numbers of established calls; then the cost
+/// of the records.
+async fn recovery_time(options: &Return) -> Result<(), LabError> {
     let program = options.program.clone().unwrap_or_else(|| beside("lockpoint"));
     println!(
         "{:>9} {:>9} {:>12} {:>14} {:>18} {:>8}",
@@ -428,17 +443,17 @@
     );
     for &calls in &options.standing {
         for lost in [1, options.controllers.div_ceil(2), options.controllers] {
-            let mut round = Round::set(&program, options.controllers, calls + 1).await?;
-            // The others are at work: they have something to tell.
+            let mut round = Round::start(&program, options.controllers, calls + 1).await?;
+            // The other controllers have calls, and so have something to report to the restarted ones.
             round.load(Duration::from_millis(600)).await;
-            let who: Vec<u16> = (0..lost).collect();
-            round.kill(&who).await;
-            for me in &who {
-                record(&round.fleet.record_file(*me), &round.servers[0].name, calls)?;
+            let killed: Vec<u16> = (0..lost).collect();
+            round.kill(&killed).await;
+            for me in &killed {
+                write_records(&round.fleet.record_file(*me), &round.servers[0].name, calls)?;
             }
             let start = Instant::now();
             let mut serves = Duration::ZERO;
-            for me in &who {
+            for me in &killed {
                 round.fleet.start_controller(*me).await?;
                 serves = serves.max(start.elapsed());
                 round.connect(*me).await;
@@ -449,17 +464,17 @@
             let (mut first, mut all) = (None, None);
             let end = start + Duration::from_secs(30);
             while all.is_none() && Instant::now() < end {
-                let (asked, said_no) = (round.asked, refused(&round));
+                let (asked, refused_before) = (round.asked, refused(&round));
                 round.load(Duration::from_millis(100)).await;
-                let name = |s: &str| who.iter().any(|me| s == format!("caller{me}"));
+                let name = |s: &str| killed.iter().any(|me| s == format!("caller{me}"));
                 if first.is_none() {
                     let ready = round.world.all().into_iter();
                     let ready =
                         ready.filter(|s| s.at > start && name(&s.who) && matches!(s.what, What::Ready(_)));
                     first = ready.map(|s| s.at).min();
                 }
-                // A tenth of a second in which everything that was asked for was taken.
-                if first.is_some() && refused(&round) == said_no && round.asked > asked {
+                // Recovered: no call was refused for 100 ms.
+                if first.is_some() && refused(&round) == refused_before && round.asked > asked {
                     all = Some(Instant::now());
                 }
             }
@@ -475,16 +490,16 @@
             round.fleet.stop().await;
         }
     }
-    costs()
+    record_costs()
 }
 
-/// Writes so many standing calls into records that nobody has open.
-fn record(file: &Path, host: &str, calls: u64) -> Result<(), LabError> {
+/// Writes `calls` established calls to a record file that no process has open.
+fn write_records(file: &Path, host: &str, calls: u64) -> Result<(), LabError> {
     let fail = |error: lockpoint_store::StoreError| LabError::file(file, error);
     let mut store = Store::open(file).map_err(fail)?;
     let mut batch = Batch::default();
     for no in 0..calls {
-        let kept = CallRecord {
+        let record = CallRecord {
             host: host.to_owned(),
             started_ms: 0,
             number: "7f3a9c21e0b4d655".into(),
@@ -492,7 +507,7 @@
             leg: false,
         };
         if let (key, Some(value)) =
-            RecordChange::CallEstablished(Sid::from_number(0xf000_0000_0000 + no), kept).encoded()
+            RecordChange::CallEstablished(Sid::from_number(0xf000_0000_0000 + no), record).encoded()
         {
             batch.put(&key, &value);
         }
@@ -500,14 +515,14 @@
     store.commit(&batch, Durability::Synced).map_err(fail).map(|_| ())
 }
 
-/// Calls a second that can be written down, beside what the disk syncs by itself.
-fn costs() -> Result<(), LabError> {
-    const WHILE: Duration = Duration::from_secs(2);
+/// Measures how many call records per second can be written, and the plain sync rate of the disk.
+fn record_costs() -> Result<(), LabError> {
+    const DURATION: Duration = Duration::from_secs(2);
     let file = std::env::temp_dir().join(format!("lockpoint-lab-costs-{}", std::process::id()));
     let fail = |error: &dyn std::fmt::Display| LabError::file(&file, error.to_string());
     let mut raw = std::fs::File::create(&file).map_err(|e| fail(&e))?;
     let (begin, mut syncs) = (Instant::now(), 0u32);
-    while begin.elapsed() < WHILE {
+    while begin.elapsed() < DURATION {
         raw.write_all(&[7; 4096]).and_then(|()| raw.sync_data()).map_err(|e| fail(&e))?;
         syncs += 1;
     }
@@ -523,10 +538,10 @@
     ] {
         let mut store = Store::open(&file).map_err(|e| fail(&e))?;
         let (begin, mut calls) = (Instant::now(), 0u64);
-        while begin.elapsed() < WHILE {
+        while begin.elapsed() < DURATION {
             let mut batch = Batch::default();
             for _ in 0..group {
-                let kept = CallRecord {
+                let record = CallRecord {
                     host: "s0".into(),
                     started_ms: 0,
                     number: "7f3a9c21e0b4d655".into(),
@@ -534,7 +549,7 @@
                     leg: false,
                 };
                 if let (key, Some(value)) =
-                    RecordChange::CallEstablished(Sid::from_number(calls), kept).encoded()
+                    RecordChange::CallEstablished(Sid::from_number(calls), record).encoded()
                 {
                     batch.put(&key, &value);
                 }
--- a/crates/lockpoint-lab/src/scale/address.rs
+++ b/crates/lockpoint-lab/src/scale/address.rs
@@ -2,11 +2,11 @@
 
 use std::collections::HashMap;
 
-/// Where one process of a controller is reached. A replacement has a new one; a restart keeps it.
+/// Network address of a controller's process. A replacement has a new one; a restart keeps it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Address(pub u32);
 
-/// A list of members: by number the address. Today it is fixed when a controller starts.
+/// A list of members with the address of each. It is fixed when a controller starts.
 #[derive(Debug, Clone, Default)]
 pub struct AddressBook {
     addresses: Vec<Address>,
@@ -25,7 +25,7 @@
         self.addresses.get(usize::from(member)).copied()
     }
 
-    /// The number of the member at an address; `None`: a stranger.
+    /// The number of the member at an address; `None`: not a member.
     pub fn number_of(&self, address: Address) -> Option<u16> {
         self.numbers.get(&address).copied()
     }
--- a/crates/lockpoint-lab/src/scale/arrivals.rs
+++ b/crates/lockpoint-lab/src/scale/arrivals.rs
@@ -1,4 +1,4 @@
-//! Calls in open loop: when the next one comes, for which service and to which controller, by a seed.
+//! Open-loop call arrivals: time, service and controller of each call, generated from a seed.
 
 use lockpoint::interface::{Span, Time};
 use rand_core::{RngCore, SeedableRng};
@@ -7,31 +7,31 @@
 
 use super::services::Service;
 
-/// A call that comes in.
+/// An arriving call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
-    /// When.
+    /// Time of arrival.
     pub at: Time,
-    /// At which controller.
+    /// Controller at which it arrives.
     pub controller: u16,
-    /// For which service.
+    /// Requested service.
     pub service: u16,
     /// Its call server of first choice.
     pub server: u16,
 }
 
-/// Draws calls. A service gets its share by the number of its call servers, so that these are used evenly.
+/// Generates calls. Each service's share is proportional to the number of its call servers, so that these are used evenly.
 #[derive(Debug)]
 pub struct Arrivals {
     rng: Pcg64Mcg,
     controllers: u16,
     rate: f64,
-    /// A pair of service and call server for each place in a service.
+    /// One pair of service and call server for each call server of each service.
     choices: Vec<(u16, u16)>,
 }
 
 impl Arrivals {
-    /// Calls at a rate of so many a second over all controllers.
+    /// A generator of `rate` calls per second over all controllers.
     pub fn new(services: &[Service], controllers: u16, rate: f64, seed: u64) -> Arrivals {
         let pairs = |(service, no): (&Service, u16)| -> Vec<(u16, u16)> {
             service.servers.iter().map(|server| (no, *server)).collect()
--- a/crates/lockpoint-lab/src/scale/bounds.rs
+++ b/crates/lockpoint-lab/src/scale/bounds.rs
@@ -1,46 +1,46 @@
-//! What the plan of `docs/CAPACITY.md` asks of a row, and whether the row keeps it.
+//! The bounds stated in `docs/CAPACITY.md`, and the checks of a row against them.
 
-use super::report::{Known, Row};
+use super::report::{PropagationResult, Row};
 
-/// News is to be known everywhere within this, in milliseconds.
-pub const KNOWN_WITHIN_MS: u64 = 10_000;
-/// Bytes a second of control that a controller sends and receives, together.
-pub const BYTES_A_SECOND: f64 = 14_000.0;
-/// Share of a core that control takes at a controller.
-pub const CORE_SHARE: f64 = 0.011;
-/// Memory of a controller, in KiB.
-pub const MEMORY_KIB: f64 = 32.0 * 1_024.0;
+/// Longest time until an update has reached all controllers.
+pub const MAX_PROPAGATION_MS: u64 = 10_000;
+/// Limit on the control traffic of a controller, sent and received.
+pub const MAX_BYTES_PER_SECOND: f64 = 14_000.0;
+/// Limit on the mean share of a processor core used by control traffic.
+pub const MAX_CORE_SHARE: f64 = 0.011;
+/// Limit on the memory of a controller.
+pub const MAX_MEMORY_KIB: f64 = 32.0 * 1_024.0;
 
-/// What a check is about.
+/// The checks of a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Check {
-    /// Bytes a second of the busiest controller.
+    /// Bytes per second of the busiest controller.
     Bytes,
-    /// A drain is known everywhere.
+    /// A drain reaches all controllers in time.
     Drain,
-    /// A death is known everywhere.
+    /// A death is detected by all controllers in time.
     Death,
-    /// A change of configuration is in force everywhere.
+    /// A configuration change is in force at all controllers in time.
     Change,
-    /// A replacement at a new address is heard everywhere.
+    /// A replacement's datagrams are accepted by all controllers in time.
     Replacement,
-    /// Nobody suspects a controller that is there.
+    /// No controller suspects one that is running.
     FalseSuspicions,
     /// Cold call servers stay within their budget.
     ColdBudget,
-    /// Processor, in the mean of all controllers.
+    /// Processor use, averaged over all controllers.
     Processor,
-    /// Memory.
+    /// Memory per controller.
     Memory,
 }
 
 impl Check {
-    /// Whether it depends on the machine and its load: not the same again with the same seed.
+    /// Whether the result depends on the machine and its load, and so differs between runs with the same seed.
     pub fn depends_on_machine(self) -> bool {
         matches!(self, Check::Processor | Check::Memory)
     }
 
-    /// Its name in the table.
+    /// Name in the table.
     pub fn name(self) -> &'static str {
         match self {
             Check::Bytes => "bytes",
@@ -59,29 +59,29 @@
 /// The checks that apply to a row, and whether each passed.
 pub fn checks(row: &Row) -> Vec<(Check, bool)> {
     let mut checks = vec![
-        (Check::Bytes, row.bytes.max <= BYTES_A_SECOND),
+        (Check::Bytes, row.bytes.max <= MAX_BYTES_PER_SECOND),
         (Check::FalseSuspicions, row.false_suspicions == 0),
-        (Check::ColdBudget, row.cold_fell == 0 && row.cold_budget <= 1.0),
-        (Check::Processor, row.core_share.mean <= CORE_SHARE),
+        (Check::ColdBudget, row.cold_failed == 0 && row.cold_budget <= 1.0),
+        (Check::Processor, row.core_share.mean <= MAX_CORE_SHARE),
     ];
-    let news = [
+    let updates = [
         (Check::Drain, &row.drain),
         (Check::Death, &row.death),
         (Check::Change, &row.change),
         (Check::Replacement, &row.replacement),
     ];
-    for (check, known) in news {
+    for (check, known) in updates {
         match known {
-            Known::NotAsked => {}
-            Known::NoMechanism => checks.push((check, false)),
-            Known::After(delays) => {
-                let max = delays.at_share(1.0);
-                checks.push((check, max.is_some_and(|ms| ms <= KNOWN_WITHIN_MS)));
+            PropagationResult::NotMeasured => {}
+            PropagationResult::NoMechanism => checks.push((check, false)),
+            PropagationResult::Measured(delays) => {
+                let max = delays.percentile_ms(1.0);
+                checks.push((check, max.is_some_and(|ms| ms <= MAX_PROPAGATION_MS)));
             }
         }
     }
     if let Some(memory) = row.memory_kib {
-        checks.push((Check::Memory, memory <= MEMORY_KIB));
+        checks.push((Check::Memory, memory <= MAX_MEMORY_KIB));
     }
     checks.sort_unstable();
     checks
--- a/crates/lockpoint-lab/src/scale/chart.rs
+++ b/crates/lockpoint-lab/src/scale/chart.rs
@@ -1,18 +1,18 @@
-//! The chart of a scale run: bytes a second and the delay of a drain against the size of the fleet.
+//! The chart of a scale run: bytes per second, propagation time of a drain and processor use against the size of the fleet.
 
 use std::path::Path;
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-use super::report::{Known, Mode, Row};
+use super::report::{Mode, PropagationResult, Row};
 use super::scenario::FAULTS;
 use crate::under_test::LabError;
 
 type Panel<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A figure of a row, where it has one.
-type Figure = fn(&Row) -> Option<f64>;
+/// Returns the plotted value of a row, if it has one.
+type PlottedValue = fn(&Row) -> Option<f64>;
 
 /// Draws `scale.svg`.
 pub fn write_svg(rows: &[Row], file: &Path) -> Result<(), LabError> {
@@ -31,15 +31,15 @@
 
 fn drain_p99(row: &Row) -> Option<f64> {
     match &row.drain {
-        Known::After(delays) => delays.at_share(0.99).map(|ms| ms as f64),
-        Known::NotAsked | Known::NoMechanism => None,
+        PropagationResult::Measured(delays) => delays.percentile_ms(0.99).map(|ms| ms as f64),
+        PropagationResult::NotMeasured | PropagationResult::NoMechanism => None,
     }
 }
 
-fn draw_panel(rows: &[Row], panel: &Panel<'_>, title: &str, figure: Figure) -> Result<(), String> {
+fn draw_panel(rows: &[Row], panel: &Panel<'_>, title: &str, value: PlottedValue) -> Result<(), String> {
     let simulated: Vec<&Row> = rows.iter().filter(|row| row.mode == Mode::Simulated).collect();
     let widest = simulated.iter().map(|row| f64::from(row.controllers)).fold(2.0, f64::max);
-    let highest = simulated.iter().filter_map(|row| figure(row)).fold(0.001, f64::max);
+    let highest = simulated.iter().filter_map(|row| value(row)).fold(0.001, f64::max);
     let mut chart = ChartBuilder::on(panel)
         .caption(title, ("sans-serif", 16))
         .margin(10)
@@ -51,7 +51,7 @@
     for (number, fault) in FAULTS.into_iter().enumerate() {
         let color = Palette99::pick(number).to_rgba();
         let of_fault = simulated.iter().filter(|row| row.fault == fault);
-        let points = of_fault.filter_map(|row| Some((f64::from(row.controllers), figure(row)?)));
+        let points = of_fault.filter_map(|row| Some((f64::from(row.controllers), value(row)?)));
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))
             .map_err(|e| e.to_string())?
--- a/crates/lockpoint-lab/src/scale/control_plane.rs
+++ b/crates/lockpoint-lab/src/scale/control_plane.rs
@@ -1,5 +1,5 @@
-//! The seam for a module that spreads changes of configuration and of membership. Today there is none: a hollow
-//! controller without a control plane never learns of a change, and the table says `no mechanism`.
+//! Interface of a module that distributes configuration and membership changes. A simulated controller without a control
+//! plane never receives a change; the result table then contains `no mechanism`.
 
 use std::sync::Arc;
 
@@ -11,53 +11,53 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub u32);
 
-/// What a process does in the control plane.
+/// Role of a process in the control plane.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// One of the machines set aside for control: it accepts changes.
+    /// One of the central servers: it accepts changes.
     Source(u16),
     /// A controller.
     Replica,
 }
 
-/// What a control plane is told at the start of its process.
+/// Configuration of a control plane at the start of its process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlPlaneConfig {
     /// Its role.
     pub role: Role,
     /// Its number among all members.
     pub member: u16,
-    /// Where it is reached.
+    /// Its network address.
     pub address: Address,
-    /// Where the sources are reached, the preferred one first: of the same region and another zone.
+    /// Addresses of the sources, the preferred one first: in the same region and another zone.
     pub sources: Vec<Address>,
     /// Its region.
     pub region: u16,
     /// Its zone.
     pub zone: u16,
-    /// Tells this start of the process from those before.
+    /// Distinguishes this process incarnation from earlier ones.
     pub incarnation: u32,
-    /// For its draws.
+    /// Seed of its random choices.
     pub seed: u64,
 }
 
-/// One process's part in the control plane. Sans-IO: datagrams and times go in, datagrams come out.
+/// The control plane of one process. Sans-IO: datagrams and times go in, datagrams come out.
 pub trait ControlPlane {
-    /// A datagram of another process came.
+    /// Handles a datagram from another process.
     fn receive(&mut self, now: Time, from: Address, bytes: &[u8]);
-    /// Appends what is to be sent now, and where to.
+    /// Appends the datagrams that are due, with their destinations.
     fn poll(&mut self, now: Time, out: &mut Vec<(Address, Vec<u8>)>);
     /// When [`ControlPlane::poll`] is to be called next.
     fn next_due(&self) -> Time;
-    /// An operator makes a change at this process, which is a source.
+    /// Accepts an operator's change at this process, which is a source.
     fn propose(&mut self, now: Time, change: ChangeId);
     /// Whether a change is in force here.
     fn is_in_force(&self, change: ChangeId) -> bool;
-    /// Whether a process is a member, as far as is known here.
+    /// Whether this process considers an address a member.
     fn knows_member(&self, address: Address) -> bool;
-    /// Members that are known here.
+    /// Number of members known to this process.
     fn members_known(&self) -> usize;
-    /// Entries that it holds, as a measure of its memory that no clock touches.
+    /// Number of entries held; a measure of memory that does not depend on timing.
     fn entries_held(&self) -> usize;
 }
 
--- a/crates/lockpoint-lab/src/scale/directory.rs
+++ b/crates/lockpoint-lab/src/scale/directory.rs
@@ -1,50 +1,50 @@
-//! The centre as it is today: directories to which every controller holds a long poll. A stand-in counts their
-//! connections and the bytes of their answers; it is a model, no process.
+//! Model of the directories on the central servers, to which every controller keeps a long poll. It counts their
+//! connections and the bytes of their answers; no process is started.
 
 use lockpoint::core::DirectoryEntry;
 
 use crate::bulletin;
 
-/// Machines of the centre while all regions are there.
-pub const MACHINES: u16 = 6;
-/// Machines that are left when a region is gone.
-pub const MACHINES_LEFT: u16 = 3;
+/// Number of central servers while all regions are reachable.
+pub const CENTRAL_SERVERS: u16 = 6;
+/// Number of central servers that remain reachable when a region is cut off.
+pub const SERVERS_AFTER_REGION_LOSS: u16 = 3;
 
-/// The machines of the centre and what they did.
+/// Counters of the directories on the central servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Directories {
-    /// Connections by machine.
+    /// Connections by central server.
     connections: Vec<u64>,
-    /// The most connections that one machine had.
-    pub most_connections: u64,
-    /// Bytes that each machine has written in answers.
+    /// Highest number of connections of one central server.
+    pub max_connections: u64,
+    /// Bytes of answers sent by each central server.
     pub bytes_out: Vec<u64>,
 }
 
 impl Directories {
-    /// All machines there, nobody connected.
+    /// All central servers, without connections.
     pub fn new() -> Directories {
-        let machines = usize::from(MACHINES);
-        Directories { connections: vec![0; machines], most_connections: 0, bytes_out: vec![0; machines] }
+        let servers = usize::from(CENTRAL_SERVERS);
+        Directories { connections: vec![0; servers], max_connections: 0, bytes_out: vec![0; servers] }
     }
 
-    /// Spreads this many connections over the first `machines` machines.
-    pub fn connect(&mut self, controllers: u16, machines: u16) {
+    /// Distributes the controllers' connections over the first `servers` central servers.
+    pub fn connect(&mut self, controllers: u16, servers: u16) {
         self.connections.fill(0);
         for controller in 0..controllers {
-            self.connections[usize::from(controller % machines)] += 1;
+            self.connections[usize::from(controller % servers)] += 1;
         }
         let most = self.connections.iter().copied().max().unwrap_or(0);
-        self.most_connections = self.most_connections.max(most);
+        self.max_connections = self.max_connections.max(most);
     }
 
-    /// An answer with these lines goes to a controller.
-    pub fn answer(&mut self, controller: u16, lines: &[DirectoryEntry]) {
-        let machine = usize::from(controller) % self.bytes_out.len();
-        self.bytes_out[machine] += lines.iter().map(line_bytes).sum::<u64>();
+    /// Counts an answer with these entries to a controller.
+    pub fn answer(&mut self, controller: u16, entries: &[DirectoryEntry]) {
+        let server = usize::from(controller) % self.bytes_out.len();
+        self.bytes_out[server] += entries.iter().map(entry_bytes).sum::<u64>();
     }
 }
 
-fn line_bytes(line: &DirectoryEntry) -> u64 {
-    bulletin::host(&line.host, line.address, line.cell.0, "ready").to_string().len() as u64
+fn entry_bytes(entry: &DirectoryEntry) -> u64 {
+    bulletin::host(&entry.host, entry.address, entry.cell.0, "ready").to_string().len() as u64
 }
--- a/crates/lockpoint-lab/src/scale/links.rs
+++ b/crates/lockpoint-lab/src/scale/links.rs
@@ -1,4 +1,4 @@
-//! The links between controllers: they delay by distance, lose by a seed, and are cut between regions.
+//! The links between controllers: they delay by distance, lose datagrams at random, and can be cut between regions.
 
 use lockpoint::interface::Span;
 use rand_pcg::Pcg64Mcg;
@@ -6,17 +6,17 @@
 use super::topology::Topology;
 use crate::path::chance;
 
-/// The shortest and the longest way within a region.
+/// Shortest and longest latency within a region.
 const WITHIN_REGION: (Span, Span) = (Span::from_millis(1), Span::from_millis(4));
-/// The shortest and the longest way between regions.
+/// Shortest and longest latency between regions.
 const BETWEEN_REGIONS: (Span, Span) = (Span::from_millis(12), Span::from_millis(30));
 
-/// What the links do from now on.
+/// Faults and latency of the links.
 #[derive(Debug, Clone)]
 pub struct Links {
-    /// Share of the datagrams that get lost.
+    /// Share of the datagrams that are lost.
     pub loss: f64,
-    /// A region that hears only itself, and that no other one hears.
+    /// A region that is cut off from all others.
     pub cut_region: Option<u16>,
     topology: Topology,
 }
@@ -28,19 +28,19 @@
     }
 
     /// Whether two members are on different sides of a cut.
-    pub fn are_parted(&self, one: u16, other: u16) -> bool {
+    pub fn are_partitioned(&self, one: u16, other: u16) -> bool {
         let inside = |member| Some(self.topology.region_of(member)) == self.cut_region;
         inside(one) != inside(other)
     }
 
-    /// How long a datagram is on its way; `None`: it is lost.
+    /// Latency of a datagram; `None`: it is lost.
     pub fn delay(&self, from: u16, to: u16, rng: &mut Pcg64Mcg) -> Option<Span> {
-        let (lost, way) = (chance(rng), chance(rng));
-        if self.are_parted(from, to) || lost < self.loss {
+        let (lost, position) = (chance(rng), chance(rng));
+        if self.are_partitioned(from, to) || lost < self.loss {
             return None;
         }
         let near = self.topology.region_of(from) == self.topology.region_of(to);
         let (shortest, longest) = if near { WITHIN_REGION } else { BETWEEN_REGIONS };
-        Some(Span(shortest.0 + longest.saturating_sub(shortest).scale(way).0))
+        Some(Span(shortest.0 + longest.saturating_sub(shortest).scale(position).0))
     }
 }
--- a/crates/lockpoint-lab/src/scale/mod.rs
+++ b/crates/lockpoint-lab/src/scale/mod.rs
@@ -1,9 +1,9 @@
-//! The scale run: how the control traffic of a large fleet behaves while machines, links and whole regions fail.
+//! The scale run: how the control traffic of a large fleet behaves while call servers, controllers, links and whole regions fail.
 //!
-//! Hollow controllers (the very `lockpoint::core` and `lockpoint::fleet`, without sockets) run many in one process and in
-//! simulated time; call servers, links and directories are the laboratory's stand-ins. Beside them some real processes
-//! take calls and see the whole fleet's control traffic over loopback, in real time. What is counted is counted by the
-//! links and the stand-ins.
+//! Simulated controllers (the program's `lockpoint::core` and `lockpoint::fleet`, without sockets) run in one process and in
+//! simulated time; call servers, links and directories are models of the laboratory. Real processes can run beside them in
+//! real time: they take calls and receive the whole fleet's control traffic over loopback. The links and the models count
+//! what is reported.
 
 pub mod address;
 pub mod arrivals;
@@ -14,6 +14,7 @@
 pub mod directory;
 pub mod links;
 pub mod options;
+pub mod propagation;
 pub mod real;
 pub mod real_links;
 pub mod replicated;
@@ -23,7 +24,6 @@
 pub mod servers;
 pub mod services;
 pub mod simulation;
-pub mod spread;
 pub mod topology;
 pub mod traffic;
 
--- a/crates/lockpoint-lab/src/scale/options.rs
+++ b/crates/lockpoint-lab/src/scale/options.rs
@@ -1,4 +1,4 @@
-//! What a scale run is asked for, from the command line.
+//! Command-line options of a scale run.
 
 use std::path::PathBuf;
 
@@ -10,18 +10,18 @@
 use super::scenario::{Fault, FAULTS};
 use crate::under_test::LabError;
 
-/// The sizes of a whole run.
+/// Default fleet sizes.
 const SIZES: [u16; 6] = [50, 100, 200, 400, 800, 1_400];
-/// Real processes that one run may have at most.
-const MOST_REAL: u16 = 300;
-/// Fleets of up to so many controllers are measured for the whole time asked for, and get all calls asked for.
-const WHOLE_UP_TO: u16 = 400;
-/// The largest ones are measured for so many seconds at least.
-const LEAST_SECONDS: f64 = 8.0;
-/// The plan's services for each controller: 220 for 1,400.
-const SERVICES_OF_PLAN: (u32, u32) = (220, 1_400);
-
-/// What spreads changes of configuration and membership.
+/// Limit on the number of real processes.
+const MAX_REAL: u16 = 300;
+/// Fleets of up to this many controllers run for the full time and call rate of the options.
+const FULL_RUN_MAX_CONTROLLERS: u16 = 400;
+/// Shortest measurement of larger fleets.
+const MIN_SECONDS: f64 = 8.0;
+/// Default ratio of services to controllers: 220 for 1,400.
+const SERVICES_PER_CONTROLLERS: (u32, u32) = (220, 1_400);
+
+/// The module that distributes configuration and membership changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum PlaneChoice {
     /// Nothing.
@@ -31,7 +31,7 @@
 }
 
 impl PlaneChoice {
-    /// What makes it.
+    /// Factory of the control plane.
     pub fn make(self) -> Option<MakeControlPlane> {
         match self {
             PlaneChoice::None => None,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Its name in the table.
+    /// Name in the table.
     pub fn name(self) -> &'static str {
         match self {
             PlaneChoice::None => "none",
@@ -48,19 +48,19 @@
     }
 }
 
-/// What to run.
+/// Options of a scale run.
 #[derive(Debug, Clone, Args)]
 pub struct Options {
-    /// Controllers; the sizes of `--sizes` where it is not given.
+    /// Controllers; by default the sizes of `--sizes`.
     #[arg(long)]
     pub controllers: Option<u16>,
     /// The sizes to measure one after the other.
     #[arg(long, value_delimiter = ',', default_values_t = SIZES)]
     pub sizes: Vec<u16>,
-    /// Call servers; as many as controllers where it is not given.
+    /// Call servers; by default as many as controllers.
     #[arg(long)]
     pub servers: Option<u16>,
-    /// Services that the call servers carry; in the plan's proportion where it is not given.
+    /// Services; by default 220 for 1,400 controllers, in proportion.
     #[arg(long)]
     pub services: Option<u16>,
     /// Regions.
@@ -69,39 +69,39 @@
     /// Zones in all regions together.
     #[arg(long, default_value_t = 6)]
     pub zones: u16,
-    /// Real processes beside the hollow controllers, in a run of its own at the pace of real time; 0: none.
+    /// Real processes beside simulated controllers, in a separate run in real time; 0: none.
     #[arg(long, default_value_t = 0)]
     pub real: u16,
-    /// Hollow controllers beside the real ones.
+    /// Simulated controllers beside the real ones.
     #[arg(long, default_value_t = 60)]
     pub beside_real: u16,
     /// The faults to run.
     #[arg(long, value_enum, value_delimiter = ',', default_values_t = FAULTS)]
     pub faults: Vec<Fault>,
-    /// Simulated seconds measured for each fault, after the warm-up; larger fleets than 400 are measured for less.
+    /// Simulated seconds measured for each fault, after the warm-up; less for fleets of more than 400.
     #[arg(long, default_value_t = 24.0)]
     pub seconds: f64,
     /// Seconds within which the whole fleet starts.
     #[arg(long, default_value_t = 1.0)]
     pub start_seconds: f64,
-    /// Calls a second that come to each controller; larger fleets than 400 get fewer.
+    /// Calls per second at each controller; fewer for fleets of more than 400.
     #[arg(long, default_value_t = 1.0)]
     pub calls: f64,
-    /// What spreads changes of configuration and membership.
+    /// Module that distributes configuration and membership changes.
     #[arg(long, value_enum, default_value_t = PlaneChoice::None)]
     pub control_plane: PlaneChoice,
-    /// For all draws.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Threads for independent runs.
     #[arg(long, default_value_t = 3)]
     pub threads: usize,
-    /// Where the table and the chart go.
+    /// Directory for the table and the chart.
     #[arg(long, default_value = "target/scale")]
     pub out: PathBuf,
 }
 
-/// The options of a command line that names none.
+/// The defaults of the command line.
 impl Default for Options {
     fn default() -> Self {
         Options {
@@ -131,37 +131,37 @@
         self.controllers.map_or_else(|| self.sizes.clone(), |size| vec![size])
     }
 
-    /// Call servers beside so many controllers.
+    /// Number of call servers for a fleet of this size.
     pub fn servers_for(&self, controllers: u16) -> u16 {
         self.servers.unwrap_or(controllers)
     }
 
-    /// Services of a fleet of so many controllers.
+    /// Number of services for a fleet of this size.
     pub fn services_for(&self, controllers: u16) -> u16 {
-        let (services, of) = SERVICES_OF_PLAN;
+        let (services, of) = SERVICES_PER_CONTROLLERS;
         let in_proportion = (u32::from(controllers) * services / of).max(2) as u16;
         self.services.unwrap_or(in_proportion)
     }
 
-    /// Seconds measured of a fleet of so many controllers: the cost of a simulated second grows with their square.
+    /// Seconds measured for a fleet of this size: the cost of a simulated second grows with the square of the size.
     pub fn seconds_for(&self, controllers: u16) -> f64 {
-        let share = f64::from(WHOLE_UP_TO) / f64::from(controllers.max(1));
-        (self.seconds * share.min(1.0)).max(self.seconds.min(LEAST_SECONDS))
+        let share = f64::from(FULL_RUN_MAX_CONTROLLERS) / f64::from(controllers.max(1));
+        (self.seconds * share.min(1.0)).max(self.seconds.min(MIN_SECONDS))
     }
 
-    /// Calls a second that come to each of so many controllers. The decisions take time for each call server that is
-    /// listed, so that more calls of a large fleet are beyond what a run can last.
+    /// Calls per second at each controller of a fleet of this size. The time of a decision grows with the number of listed
+    /// call servers, so large fleets get fewer calls to bound the duration of a run.
     pub fn calls_for(&self, controllers: u16) -> f64 {
-        let share = f64::from(WHOLE_UP_TO) / f64::from(controllers.max(1));
+        let share = f64::from(FULL_RUN_MAX_CONTROLLERS) / f64::from(controllers.max(1));
         self.calls * share.min(1.0).powi(2)
     }
 
     /// The time within which the whole fleet starts.
-    pub fn starts_within(&self) -> Span {
+    pub fn start_window(&self) -> Span {
         Span::from_secs(self.start_seconds)
     }
 
-    /// Says which option cannot be meant.
+    /// Rejects options that are out of range.
     pub fn check(&self) -> Result<(), LabError> {
         let wrong = |option: &str, why: &str| Err(LabError::Serves(format!("at option '--{option}': {why}")));
         if self.all_sizes().iter().any(|size| !(6..=20_000).contains(size)) {
@@ -176,7 +176,7 @@
         if !(0.0..=600.0).contains(&self.start_seconds) {
             return wrong("start-seconds", "not from 0 to 600");
         }
-        if self.real > MOST_REAL {
+        if self.real > MAX_REAL {
             return wrong("real", "more than 300 processes");
         }
         if !(8.0..=3_600.0).contains(&self.seconds) || !(0.01..=1_000.0).contains(&self.calls) {
--- a/crates/lockpoint-lab/src/scale/real.rs
+++ b/crates/lockpoint-lab/src/scale/real.rs
@@ -1,5 +1,5 @@
-//! Real controllers beside a simulated fleet, at the pace of real time: they take calls, see the control traffic of the
-//! whole fleet over loopback, and one hollow controller dies.
+//! Real controllers beside a simulated fleet, in real time: they take calls and receive the control traffic of the whole
+//! fleet over loopback while one simulated controller dies.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -9,12 +9,12 @@
 use serde_json::json;
 
 use super::options::Options;
+use super::propagation::{Delays, Propagation};
 use super::real_links::RealLinks;
-use super::report::{Centre, Known, Mode, Row};
+use super::report::{CentralServers, Mode, PropagationResult, Row};
 use super::run::simulation_config;
 use super::scenario::Fault;
 use super::simulation::{Action, Simulation, SimulationConfig};
-use super::spread::{Delays, Spread};
 use super::traffic::{MeanMax, Traffic};
 use crate::bulletin::{host, Bulletin};
 use crate::callers::Caller;
@@ -23,72 +23,72 @@
 use crate::under_test::{Folder, LabError, Used};
 use crate::world::{What, World};
 
-/// Call servers that the real controllers and the hollow ones list.
+/// Number of call servers that the real and the simulated controllers list.
 const SERVERS: u16 = 6;
-/// The real controllers are asked for a call each so often.
-const CALL_EVERY: Duration = Duration::from_millis(500);
-/// A caller waits for so many milliseconds.
-const CALLER_WAITS_MS: u64 = 5_000;
-/// How often the real controllers are asked for what they know.
-const ASK_EVERY: Duration = Duration::from_millis(100);
-/// The simulation is driven on at least so often.
+/// Interval of the calls at each real controller.
+const CALL_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a caller waits for its call to be established.
+const CALLER_TIMEOUT_MS: u64 = 5_000;
+/// Interval at which the metrics of the real controllers are read.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which the simulation is advanced.
 const STEP: Duration = Duration::from_millis(1);
-/// All controllers are heard within this, or never.
-const SETTLES_WITHIN: Duration = Duration::from_secs(20);
-/// News is watched for this long.
-const WATCHED: Duration = Duration::from_secs(12);
-/// The call server whose drain one hollow controller hears of.
+/// Longest wait until each real controller has all peers alive.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Duration of the measurement.
+const MEASUREMENT: Duration = Duration::from_secs(12);
+/// The call server whose drain is announced to one simulated controller.
 const DRAINED: u16 = SERVERS - 1;
 
-/// The scene of a run.
-struct Scene {
+/// State of a run.
+struct RealTimeRun {
     world: World,
     simulation: Simulation,
     links: RealLinks,
     began: Instant,
     first: Time,
     processes: Vec<Process>,
-    /// Holds the files of the processes until they have ended.
+    /// Keeps the files of the processes until they have ended.
     _folder: Folder,
     first_real: u16,
     calls: u64,
 }
 
-/// Runs `options.real` processes of `program` beside `options.beside_real` hollow controllers.
+/// Runs `options.real` processes of `program` beside `options.beside_real` simulated controllers.
 pub async fn measure_real(options: &Options, program: &Path) -> Result<Row, LabError> {
-    let mut scene = Scene::set(options, program).await?;
-    scene.settle().await?;
-    let before = scene.counts();
+    let mut run = RealTimeRun::start(options, program).await?;
+    run.settle().await?;
+    let before = run.counts();
     let since = Instant::now();
-    let callers = scene.callers().await?;
-    let hollow = scene.first_real;
-    let teller = (options.seed % u64::from(hollow)) as u16;
-    let dies = (teller + 1) % hollow;
-    let told = scene.simulation.now;
-    scene.simulation.act_at(told, Action::DrainToldTo(teller, DRAINED));
-    scene.simulation.act_at(told, Action::Kill(dies));
-    let (drain, death, false_suspicions) = scene.watch(told, dies, &callers).await;
+    let callers = run.callers().await?;
+    let simulated = run.first_real;
+    let notified = (options.seed % u64::from(simulated)) as u16;
+    let dies = (notified + 1) % simulated;
+    let started_at = run.simulation.now;
+    run.simulation.act_at(started_at, Action::NotifyDrain(notified, DRAINED));
+    run.simulation.act_at(started_at, Action::Kill(dies));
+    let (drain, death, false_suspicions) = run.watch(started_at, dies, &callers).await;
     let seconds = since.elapsed().as_secs_f64();
-    let stood = scene.answers().await;
-    let row = scene.row(seconds, &before, stood);
-    let (drain, death) = (Known::After(drain), Known::After(death));
+    let established = run.wait_for_answers().await;
+    let row = run.row(seconds, &before, established);
+    let (drain, death) = (PropagationResult::Measured(drain), PropagationResult::Measured(death));
     let row = Row { drain, death, false_suspicions, ..row };
-    for process in scene.processes {
+    for process in run.processes {
         if !process.stop().await {
-            return Err(LabError::Serves("a real controller did not end in order".to_owned()));
+            return Err(LabError::Serves("a real controller did not stop gracefully".to_owned()));
         }
     }
     Ok(row)
 }
 
-/// What was used and sent until a moment.
+/// Resource use and traffic up to a point in time.
 struct Counts {
     used: Vec<Used>,
     traffic: Vec<Traffic>,
 }
 
-impl Scene {
-    async fn set(options: &Options, program: &Path) -> Result<Scene, LabError> {
+impl RealTimeRun {
+    async fn start(options: &Options, program: &Path) -> Result<RealTimeRun, LabError> {
         let world = World::default();
         let bulletin = Bulletin::start(&world).await;
         let mut lines = Vec::new();
@@ -116,12 +116,22 @@
         let simulation = Simulation::new(config);
         let (began, first) = (Instant::now(), simulation.now);
         let first_real = options.beside_real;
-        Ok(Scene { world, simulation, links, began, first, processes, _folder: folder, first_real, calls: 0 })
+        Ok(RealTimeRun {
+            world,
+            simulation,
+            links,
+            began,
+            first,
+            processes,
+            _folder: folder,
+            first_real,
+            calls: 0,
+        })
     }
 
-    /// Lets the simulation catch up with real time, and datagrams pass both ways.
-    async fn drive_for(&mut self, how_long: Duration) {
-        let end = Instant::now() + how_long;
+    /// Advances the simulation to the real time, and forwards datagrams in both directions.
+    async fn drive_for(&mut self, duration: Duration) {
+        let end = Instant::now() + duration;
         loop {
             while let Ok(datagram) = self.links.received.try_recv() {
                 self.simulation.send_from_remote(datagram);
@@ -129,7 +139,7 @@
             let passed = Span(u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX));
             self.simulation.run_until(self.first.plus(passed));
             for datagram in std::mem::take(&mut self.simulation.outbox) {
-                self.links.hand_over(&datagram);
+                self.links.deliver(&datagram);
             }
             if Instant::now() >= end {
                 return;
@@ -138,22 +148,24 @@
         }
     }
 
-    /// Waits until each real controller hears all others.
+    /// Waits until all peers of each real controller are alive.
     async fn settle(&mut self) -> Result<(), LabError> {
         let others = u64::from(self.simulation.controllers()) - 1;
-        let end = Instant::now() + SETTLES_WITHIN;
+        let end = Instant::now() + SETTLE_TIMEOUT;
         loop {
-            self.drive_for(ASK_EVERY).await;
+            self.drive_for(POLL_INTERVAL).await;
             let mut least = others;
             for process in &self.processes {
-                let figures = process.metrics().await;
-                least = least.min(figures.get("fleet.peers_alive").copied().unwrap_or(0));
+                let metrics = process.metrics().await;
+                least = least.min(metrics.get("fleet.peers_alive").copied().unwrap_or(0));
             }
             if least == others {
                 return Ok(());
             }
             if Instant::now() > end {
-                return Err(LabError::Serves(format!("a real controller hears {least} of {others} others")));
+                return Err(LabError::Serves(format!(
+                    "a real controller reports {least} of {others} peers alive"
+                )));
             }
         }
     }
@@ -167,32 +179,32 @@
         Ok(callers)
     }
 
-    /// Places calls and follows the news at the real controllers: delays of the drain and of the death, and suspicions
-    /// of controllers that are there.
-    async fn watch(&mut self, told: Time, dies: u16, callers: &[Caller]) -> (Delays, Delays, u64) {
+    /// Places calls and tracks the updates at the real controllers: delays of the drain and of the death, and suspicions
+    /// of controllers that are running.
+    async fn watch(&mut self, started_at: Time, dies: u16, callers: &[Caller]) -> (Delays, Delays, u64) {
         let real = self.processes.len();
         let (mut drain, mut death) =
-            (Spread::new(told, vec![true; real]), Spread::new(told, vec![true; real]));
+            (Propagation::new(started_at, vec![true; real]), Propagation::new(started_at, vec![true; real]));
         let (mut false_suspicions, mut next_call) = (0, Instant::now());
-        let end = Instant::now() + WATCHED;
+        let end = Instant::now() + MEASUREMENT;
         let warned = format!("fleet.server.s{DRAINED}.warned");
-        println!("controller {dies} dies, one hollow controller hears that s{DRAINED} drains");
+        println!("controller {dies} dies, one simulated controller is notified that s{DRAINED} drains");
         while Instant::now() < end {
-            self.drive_for(ASK_EVERY).await;
+            self.drive_for(POLL_INTERVAL).await;
             if Instant::now() >= next_call {
-                next_call += CALL_EVERY;
+                next_call += CALL_INTERVAL;
                 self.place_calls(callers).await;
             }
             for number in 0..real {
-                let figures = self.processes[number].metrics().await;
-                let lost = figures.get("fleet.peers_lost").copied().unwrap_or(0);
+                let metrics = self.processes[number].metrics().await;
+                let lost = metrics.get("fleet.peers_lost").copied().unwrap_or(0);
                 let (now, member) = (self.simulation.now, number as u16);
                 false_suspicions = false_suspicions.max(lost.saturating_sub(1));
                 if lost >= 1 {
-                    death.known(now, member);
+                    death.record(now, member);
                 }
-                if figures.contains_key(&warned) {
-                    drain.known(now, member);
+                if metrics.contains_key(&warned) {
+                    drain.record(now, member);
                 }
             }
         }
@@ -204,21 +216,21 @@
             self.calls += 1;
             let sid = Sid::from_number(0x5ca1_e000 + self.calls).to_string();
             let dest = (self.calls % u64::from(SERVERS)) as u16;
-            caller.open(&sid, CALLER_WAITS_MS, dest, "v=0\r\n").await;
+            caller.open(&sid, CALLER_TIMEOUT_MS, dest, "v=0\r\n").await;
         }
     }
 
-    /// Waits for the answers that are out, as long as a caller would; calls of the real controllers that stood.
-    async fn answers(&mut self) -> u64 {
-        let end = Instant::now() + Duration::from_millis(CALLER_WAITS_MS);
-        while self.stood() < self.calls && Instant::now() < end {
-            self.drive_for(ASK_EVERY).await;
+    /// Waits for outstanding answers, up to a caller's timeout; returns the calls established by the real controllers.
+    async fn wait_for_answers(&mut self) -> u64 {
+        let end = Instant::now() + Duration::from_millis(CALLER_TIMEOUT_MS);
+        while self.established() < self.calls && Instant::now() < end {
+            self.drive_for(POLL_INTERVAL).await;
         }
-        self.stood()
+        self.established()
     }
 
-    /// Calls of the real controllers that stood so far.
-    fn stood(&self) -> u64 {
+    /// Calls established by the real controllers so far.
+    fn established(&self) -> u64 {
         let answers = self.world.all().into_iter().filter(|seen| matches!(seen.what, What::Ready(_)));
         answers.count() as u64
     }
@@ -229,13 +241,13 @@
         Counts { used, traffic }
     }
 
-    /// What the real controllers used and sent since then.
-    fn row(&self, seconds: f64, before: &Counts, stood: u64) -> Row {
+    /// The result row: resource use and traffic of the real controllers since `before`.
+    fn row(&self, seconds: f64, before: &Counts, established: u64) -> Row {
         let now = self.counts();
         let traffic: Vec<Traffic> =
             now.traffic.iter().zip(&before.traffic).map(|(n, b)| n.since(b)).collect();
-        let rate = |figure: fn(&Traffic) -> u64| {
-            MeanMax::of(traffic.iter().map(|traffic| figure(traffic) as f64 / seconds))
+        let rate = |value: fn(&Traffic) -> u64| {
+            MeanMax::of(traffic.iter().map(|traffic| value(traffic) as f64 / seconds))
         };
         let used = now.used.iter().zip(&before.used);
         let core_share = MeanMax::of(used.map(|(now, before)| (now.cpu - before.cpu) / seconds));
@@ -257,17 +269,20 @@
             memory_kib: Some(memory.max),
             entries: 0,
             members_known: None,
-            drain: Known::NotAsked,
-            death: Known::NotAsked,
-            change: Known::NoMechanism,
-            replacement: Known::NotAsked,
+            drain: PropagationResult::NotMeasured,
+            death: PropagationResult::NotMeasured,
+            change: PropagationResult::NoMechanism,
+            replacement: PropagationResult::NotMeasured,
             false_suspicions: 0,
-            from_strangers: self.simulation.from_strangers,
+            from_unknown_senders: self.simulation.from_unknown_senders,
             cold_set_ups: 0,
             cold_budget: 0.0,
-            cold_fell: 0,
-            calls: (self.calls, stood),
-            centre: Centre { connections: self.processes.len() as u64, ..Centre::default() },
+            cold_failed: 0,
+            calls: (self.calls, established),
+            central_servers: CentralServers {
+                connections: self.processes.len() as u64,
+                ..CentralServers::default()
+            },
         }
     }
 }
--- a/crates/lockpoint-lab/src/scale/real_links.rs
+++ b/crates/lockpoint-lab/src/scale/real_links.rs
@@ -1,5 +1,5 @@
-//! The links between real controllers and the simulated fleet: for each pair of a real one and any other member a socket
-//! of its own, so that the real one knows by the address who speaks.
+//! The links between real controllers and the simulated fleet: each pair of a real controller and another member has a
+//! separate socket, so that the real controller identifies the sender by its address.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -14,17 +14,17 @@
 
 /// The sockets of one real controller.
 struct RealEnd {
-    /// Where it listens.
+    /// The address that the controller listens on.
     listens_at: SocketAddr,
-    /// By member, where it sends to reach that one; `None` at its own place.
-    seats: Vec<Option<Rc<UdpSocket>>>,
+    /// By member, the socket to which the controller sends for that member; `None` for itself.
+    relay_sockets: Vec<Option<Rc<UdpSocket>>>,
 }
 
 /// All links of the real controllers, which have the last numbers of the fleet.
 pub struct RealLinks {
     first_real: u16,
     ends: Vec<RealEnd>,
-    /// What the real controllers have sent.
+    /// Datagrams sent by the real controllers.
     pub received: mpsc::UnboundedReceiver<RemoteDatagram>,
 }
 
@@ -43,52 +43,55 @@
         let first_real = controllers - real;
         let own_address = unique_loopback_address();
         let (sender, received) = mpsc::unbounded_channel();
-        let (mut ends, mut held) = (Vec::new(), Vec::new());
+        let (mut ends, mut reserved) = (Vec::new(), Vec::new());
         for me in first_real..controllers {
-            // Held until all are chosen, so that no two are alike.
+            // Held until all are chosen, so that each port is distinct.
             let own = bind(own_address).await?;
             let listens_at = address_of(&own)?;
-            held.push(own);
-            let mut seats = Vec::new();
+            reserved.push(own);
+            let mut relay_sockets = Vec::new();
             for other in 0..controllers {
-                let seat = if other == me { None } else { Some(Rc::new(bind(Ipv4Addr::LOCALHOST).await?)) };
-                if let Some(seat) = &seat {
-                    spawn_local(listen(seat.clone(), listens_at, me, other, sender.clone()));
+                let relay_socket =
+                    if other == me { None } else { Some(Rc::new(bind(Ipv4Addr::LOCALHOST).await?)) };
+                if let Some(relay_socket) = &relay_socket {
+                    spawn_local(listen(relay_socket.clone(), listens_at, me, other, sender.clone()));
                 }
-                seats.push(seat);
+                relay_sockets.push(relay_socket);
             }
-            ends.push(RealEnd { listens_at, seats });
+            ends.push(RealEnd { listens_at, relay_sockets });
         }
-        drop(held);
+        drop(reserved);
         Ok(RealLinks { first_real, ends, received })
     }
 
-    /// Where a real controller listens.
+    /// The address that a real controller listens on.
     pub fn listens_at(&self, me: u16) -> SocketAddr {
         self.ends[usize::from(me - self.first_real)].listens_at
     }
 
-    /// All members as a real controller reaches them, itself included.
+    /// The addresses at which a real controller reaches all members, itself included.
     pub fn peers_of(&self, me: u16) -> Vec<SocketAddr> {
         let end = &self.ends[usize::from(me - self.first_real)];
-        let seats = end.seats.iter();
-        let address = |seat: &Option<Rc<UdpSocket>>| seat.as_ref().and_then(|seat| seat.local_addr().ok());
-        seats.map(|seat| address(seat).unwrap_or(end.listens_at)).collect()
+        let relay_sockets = end.relay_sockets.iter();
+        let address = |relay_socket: &Option<Rc<UdpSocket>>| {
+            relay_socket.as_ref().and_then(|relay_socket| relay_socket.local_addr().ok())
+        };
+        relay_sockets.map(|relay_socket| address(relay_socket).unwrap_or(end.listens_at)).collect()
     }
 
-    /// Hands a datagram to the real controller that it is for.
-    pub fn hand_over(&self, datagram: &RemoteDatagram) {
+    /// Delivers a datagram to a real controller.
+    pub fn deliver(&self, datagram: &RemoteDatagram) {
         let end = &self.ends[usize::from(datagram.to - self.first_real)];
-        if let Some(seat) = &end.seats[usize::from(datagram.from)] {
-            // What cannot be sent now is lost, as any datagram may be.
-            let _ = seat.try_send_to(&datagram.bytes, end.listens_at);
+        if let Some(relay_socket) = &end.relay_sockets[usize::from(datagram.from)] {
+            // A datagram that cannot be sent now is lost, as any datagram may be.
+            let _ = relay_socket.try_send_to(&datagram.bytes, end.listens_at);
         }
     }
 }
 
-/// Passes on what the real controller `me` sends to `other`.
+/// Forwards the datagrams that the real controller `me` sends to `other`.
 async fn listen(
-    seat: Rc<UdpSocket>,
+    relay_socket: Rc<UdpSocket>,
     listens_at: SocketAddr,
     me: u16,
     other: u16,
@@ -96,8 +99,8 @@
 ) {
     let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // A controller that is gone shows as an error of the socket; the next datagram is another's matter.
-        let Ok((length, sender)) = seat.recv_from(&mut bytes).await else { continue };
+        // A controller that has ended causes a socket error here; later datagrams are not affected by it.
+        let Ok((length, sender)) = relay_socket.recv_from(&mut bytes).await else { continue };
         if sender != listens_at {
             continue;
         }
--- a/crates/lockpoint-lab/src/scale/replicated.rs
+++ b/crates/lockpoint-lab/src/scale/replicated.rs
@@ -1,4 +1,4 @@
-//! The control plane of `lockpoint::replication`, plugged into the hollow controllers.
+//! The control plane of `lockpoint::replication`, as used by the simulated controllers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,15 +10,15 @@
 use super::address::Address;
 use super::control_plane::{ChangeId, ControlPlane, ControlPlaneConfig, MakeControlPlane, Role};
 
-/// The port of every process; its address is in the address.
+/// The port of every process; the IP address identifies the process.
 const PORT: u16 = 7_000;
-/// A source that nobody answers accepts changes after this. The default waits for a cluster that may be there; here
-/// there is none at the start.
+/// A source that receives no answer accepts changes after this time. The default waits longer for an existing cluster;
+/// here there is none at the start.
 const BOOTSTRAP_AFTER: Span = Span::from_millis(1_000);
-/// A change is tried again after this where the source has not caught up yet.
-const PROPOSE_AGAIN: Span = Span::from_millis(100);
+/// A change is proposed again after this time if the source has not caught up yet.
+const PROPOSE_RETRY_INTERVAL: Span = Span::from_millis(100);
 
-/// Takes every value: what is measured is how changes spread.
+/// Accepts every value: only the propagation of changes is measured.
 struct AcceptAll;
 
 impl Validator for AcceptAll {
@@ -30,8 +30,8 @@
 struct Replicated {
     replica: Replica,
     members: HashSet<Address>,
-    /// A change that its source could not accept yet, and when it is tried again.
-    waiting: Option<(ChangeId, Time)>,
+    /// A change that its source could not accept yet, and when it is proposed again.
+    retry: Option<(ChangeId, Time)>,
 }
 
 /// Makes the control plane of `lockpoint::replication`.
@@ -83,7 +83,7 @@
             ..ReplicaConfig::default()
         };
         let replica = Replica::new(replica, Box::new(AcceptAll), now);
-        Replicated { replica, members: HashSet::new(), waiting: None }
+        Replicated { replica, members: HashSet::new(), retry: None }
     }
 
     fn note_events(&mut self) {
@@ -102,13 +102,13 @@
 
 impl ControlPlane for Replicated {
     fn receive(&mut self, now: Time, from: Address, bytes: &[u8]) {
-        // What it cannot take is counted there.
+        // The replica counts the datagrams that it rejects.
         let _ = self.replica.receive(now, socket_address(from), bytes);
         self.note_events();
     }
 
     fn poll(&mut self, now: Time, out: &mut Vec<(Address, Vec<u8>)>) {
-        if let Some((change, _)) = self.waiting.take_if(|(_, at)| *at <= now) {
+        if let Some((change, _)) = self.retry.take_if(|(_, at)| *at <= now) {
             self.propose(now, change);
         }
         let mut datagrams = Vec::new();
@@ -119,12 +119,12 @@
 
     fn next_due(&self) -> Time {
         let due = self.replica.next_due();
-        self.waiting.map_or(due, |(_, at)| due.min(at))
+        self.retry.map_or(due, |(_, at)| due.min(at))
     }
 
     fn propose(&mut self, now: Time, change: ChangeId) {
         if self.replica.propose(now, &key_of(change), Some(b"1")).is_err() {
-            self.waiting = Some((change, now.plus(PROPOSE_AGAIN)));
+            self.retry = Some((change, now.plus(PROPOSE_RETRY_INTERVAL)));
         }
     }
 
--- a/crates/lockpoint-lab/src/scale/report.rs
+++ b/crates/lockpoint-lab/src/scale/report.rs
@@ -1,25 +1,25 @@
-//! The table of a scale run: one row for each size and fault, as CSV and as Markdown.
+//! The result table of a scale run: one row for each size and fault, as CSV and as Markdown.
 
 use std::fmt::Write as _;
 use std::path::Path;
 
 use super::bounds::{checks, Check};
+use super::propagation::Delays;
 use super::scenario::Fault;
-use super::spread::Delays;
 use super::traffic::MeanMax;
 use crate::under_test::LabError;
 
 /// How a row was measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mode {
-    /// Hollow controllers in simulated time.
+    /// Simulated controllers in simulated time.
     Simulated,
-    /// Real processes, with hollow controllers at the pace of real time.
+    /// Real processes, with simulated controllers at the pace of real time.
     RealTime,
 }
 
 impl Mode {
-    /// Its name in the table.
+    /// Name in the table.
     pub fn name(self) -> &'static str {
         match self {
             Mode::Simulated => "simulated",
@@ -28,26 +28,26 @@
     }
 }
 
-/// When a kind of news was known everywhere.
+/// How long a kind of update took to reach all controllers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum Known {
-    /// No such news in this row.
+pub enum PropagationResult {
+    /// Not measured in this row.
     #[default]
-    NotAsked,
-    /// Nothing spreads it.
+    NotMeasured,
+    /// The fleet has no mechanism that distributes it.
     NoMechanism,
-    /// After these delays.
-    After(Delays),
+    /// The measured delays.
+    Measured(Delays),
 }
 
-/// The centre.
+/// Load on the central servers: directories and control-plane sources.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Centre {
-    /// The most connections that one machine had.
+pub struct CentralServers {
+    /// Highest number of connections of one central server.
     pub connections: u64,
-    /// Bytes a second that the busiest machine wrote.
-    pub bytes_a_second: f64,
-    /// Entries that a machine held; `None`: there is no such machine.
+    /// Bytes per second sent by the busiest one.
+    pub bytes_per_second: f64,
+    /// Highest number of entries held by a source; `None`: there are no sources.
     pub entries: Option<usize>,
 }
 
@@ -56,15 +56,15 @@
 pub struct Row {
     /// How it was measured.
     pub mode: Mode,
-    /// Controllers, those in simulated time or at its pace.
+    /// Number of controllers, simulated and real.
     pub controllers: u16,
     /// Real processes among them.
     pub real: u16,
-    /// What went wrong.
+    /// The injected fault.
     pub fault: Fault,
     /// Seconds measured.
     pub seconds: f64,
-    /// Calls a second that came to all controllers together.
+    /// Calls per second over all controllers.
     pub call_rate: f64,
     /// Datagrams a second that a controller sent.
     pub datagrams_out: MeanMax,
@@ -74,40 +74,40 @@
     pub bytes_out: MeanMax,
     /// Bytes a second that a controller received.
     pub bytes_in: MeanMax,
-    /// Both together.
+    /// Sum of both.
     pub bytes: MeanMax,
-    /// Share of a core that control took at a controller.
+    /// Share of a processor core used by control traffic at a controller.
     pub core_share: MeanMax,
-    /// Processor time that a controller takes for a call, with all that belongs to it, in microseconds.
+    /// Processor time per call at a controller, in microseconds; includes its release and list updates.
     pub call_micros: f64,
     /// Memory of a controller, in KiB; `None`: not measured in this row.
     pub memory_kib: Option<f64>,
-    /// The most call servers of which a controller held something.
+    /// Highest number of call servers of which one controller held an observation.
     pub entries: usize,
-    /// Members that a control plane knew when the measurement began: the fewest, and the mean; sources are members too.
+    /// Members known to a control plane at the start of the measurement, sources included: the minimum and the mean.
     pub members_known: Option<(usize, f64)>,
-    /// A drain that one directory told.
-    pub drain: Known,
-    /// A death.
-    pub death: Known,
-    /// A change of configuration.
-    pub change: Known,
-    /// A replacement's new address.
-    pub replacement: Known,
-    /// Suspicions of controllers that were there, at least.
+    /// Propagation of a drain that a single directory announced.
+    pub drain: PropagationResult,
+    /// Propagation of a controller's death.
+    pub death: PropagationResult,
+    /// Propagation of a configuration change.
+    pub change: PropagationResult,
+    /// Propagation of a replacement's new address.
+    pub replacement: PropagationResult,
+    /// Lower bound on the suspicions of controllers that were running.
     pub false_suspicions: u64,
-    /// Datagrams that were dropped as they came from an unknown address.
-    pub from_strangers: u64,
-    /// Set-ups that cold call servers were sent.
+    /// Datagrams dropped because their sender's address was unknown.
+    pub from_unknown_senders: u64,
+    /// Set-ups sent to cold call servers.
     pub cold_set_ups: u64,
-    /// The most of N + 2 sqrt(N) + 2 that one was sent.
+    /// Highest load on a cold call server, as a share of N + 2 sqrt(N) + 2.
     pub cold_budget: f64,
-    /// Cold call servers that fell over.
-    pub cold_fell: u64,
-    /// Calls that came, and those that stood.
+    /// Cold call servers that failed under overload.
+    pub cold_failed: u64,
+    /// Calls placed, and calls established.
     pub calls: (u64, u64),
-    /// The centre.
-    pub centre: Centre,
+    /// The central servers.
+    pub central_servers: CentralServers,
 }
 
 const HEADER: [&str; 29] = [
@@ -148,7 +148,7 @@
         checks(self).into_iter().filter(|(_, passed)| !passed).map(|(check, _)| check.name()).collect()
     }
 
-    /// Its line of the table in Markdown.
+    /// The row as a line of the Markdown table.
     pub fn line(&self) -> String {
         format!("| {} |", self.cells().join(" | "))
     }
@@ -177,13 +177,13 @@
             known(&self.change),
             known(&self.replacement),
             self.false_suspicions.to_string(),
-            self.from_strangers.to_string(),
+            self.from_unknown_senders.to_string(),
             self.cold_set_ups.to_string(),
             format!("{:.2}", self.cold_budget),
-            self.cold_fell.to_string(),
+            self.cold_failed.to_string(),
             format!("{} of {}", self.calls.1, self.calls.0),
-            self.centre.connections.to_string(),
-            format!("{:.0}", self.centre.bytes_a_second),
+            self.central_servers.connections.to_string(),
+            format!("{:.0}", self.central_servers.bytes_per_second),
             if failures.is_empty() { "-".to_owned() } else { failures.join(", ") },
         ]
     }
@@ -193,12 +193,12 @@
     format!("{:.0} / {:.0}", figure.mean, figure.max)
 }
 
-fn known(known: &Known) -> String {
+fn known(known: &PropagationResult) -> String {
     match known {
-        Known::NotAsked => "-".to_owned(),
-        Known::NoMechanism => "no mechanism".to_owned(),
-        Known::After(delays) => {
-            let at = |share| delays.at_share(share).map_or("not seen".to_owned(), |ms| ms.to_string());
+        PropagationResult::NotMeasured => "-".to_owned(),
+        PropagationResult::NoMechanism => "no mechanism".to_owned(),
+        PropagationResult::Measured(delays) => {
+            let at = |share| delays.percentile_ms(share).map_or("not seen".to_owned(), |ms| ms.to_string());
             let unknown = match delays.unknown {
                 0 => String::new(),
                 unknown => format!(" ({unknown} not while watched)"),
@@ -209,8 +209,8 @@
 }
 
 /// Checks that passed and that failed, over all rows.
-pub fn verdict(rows: &[Row], counted: impl Fn(Check) -> bool) -> (usize, usize) {
-    let all = rows.iter().flat_map(checks).filter(|(check, _)| counted(*check));
+pub fn verdict(rows: &[Row], included: impl Fn(Check) -> bool) -> (usize, usize) {
+    let all = rows.iter().flat_map(checks).filter(|(check, _)| included(*check));
     all.fold((0, 0), |(passed, failed), (_, ok)| (passed + usize::from(ok), failed + usize::from(!ok)))
 }
 
@@ -224,7 +224,7 @@
     writer.flush().map_err(|e| LabError::file(file, e))
 }
 
-/// The table in Markdown, with how it is to be read.
+/// The table in Markdown, under its title.
 pub fn markdown(rows: &[Row], title: &str) -> String {
     let mut text = format!("{title}\n\n");
     let _ = writeln!(text, "| {} |", HEADER.join(" | "));
--- a/crates/lockpoint-lab/src/scale/run.rs
+++ b/crates/lockpoint-lab/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! A scale run: the memory of each size first, alone; then all faults of all sizes, a few at once.
+//! A scale run: first the memory of each fleet size, one at a time; then all faults for all sizes, several in parallel.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -11,17 +11,17 @@
 use super::chart::write_svg;
 use super::control_plane::MakeControlPlane;
 use super::options::Options;
+use super::propagation::{Delays, Propagation};
 use super::real::measure_real;
-use super::report::{markdown, verdict, write_csv, Centre, Known, Mode, Row};
+use super::report::{markdown, verdict, write_csv, CentralServers, Mode, PropagationResult, Row};
 use super::scenario::{script, Fault, Fleet};
 use super::services;
 use super::simulation::{Simulation, SimulationConfig};
-use super::spread::{Delays, Spread};
 use super::topology::Topology;
 use super::traffic::{MeanMax, Traffic};
 use crate::under_test::{beside, used, LabError};
 
-/// How long after the last start the memory of a fleet is read: all controllers hold their lists by then.
+/// Time from the last start to the memory measurement: all controllers have their lists by then.
 const MEMORY_AFTER: Span = Span::from_millis(1_000);
 
 /// One simulation to run.
@@ -37,7 +37,7 @@
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// What a fleet of this size consists of.
+/// Configuration of the simulation of a fleet of this size.
 pub fn simulation_config(
     options: &Options,
     controllers: u16,
@@ -49,7 +49,7 @@
         remote: 0,
         servers,
         services: services::draw(options.services_for(controllers), servers, options.seed),
-        starts_within: options.starts_within(),
+        start_window: options.start_window(),
         topology: Topology { regions: options.regions, zones: options.zones },
         calls_per_controller: options.calls_for(controllers),
         seed: options.seed,
@@ -57,13 +57,13 @@
     }
 }
 
-fn merged<'a>(spreads: impl Iterator<Item = &'a Spread>) -> Known {
+fn merge_delays<'a>(propagations: impl Iterator<Item = &'a Propagation>) -> PropagationResult {
     let mut delays = Delays::default();
-    spreads.for_each(|spread| delays.merge(spread.delays()));
+    propagations.for_each(|propagation| delays.merge(propagation.delays()));
     if delays.is_empty() {
-        Known::NotAsked
+        PropagationResult::NotMeasured
     } else {
-        Known::After(delays)
+        PropagationResult::Measured(delays)
     }
 }
 
@@ -81,7 +81,7 @@
         servers: config.servers,
         topology: config.topology,
         has_sources,
-        starts_within: config.starts_within,
+        start_window: config.start_window,
     };
     let seconds = options.seconds_for(controllers);
     let measured = Span::from_secs(seconds);
@@ -96,7 +96,7 @@
     start.row(&simulation, fault, seconds, has_sources)
 }
 
-/// The counts at the beginning of the measurement.
+/// Counters at the start of the measurement.
 struct Snapshot {
     traffic: Vec<Traffic>,
     control_time: Vec<Duration>,
@@ -122,27 +122,27 @@
         }
     }
 
-    /// The share of the time passed that this thread was on a processor: others use the machine too.
-    fn on_processor(&self) -> f64 {
+    /// Share of the elapsed time in which this thread ran on a processor: other programs use the machine too.
+    fn processor_share(&self) -> f64 {
         let passed = self.began.elapsed().as_secs_f64().max(1e-9);
         ((thread_time() - self.thread_time).as_secs_f64() / passed).min(1.0)
     }
 
     fn row(&self, simulation: &Simulation, fault: Fault, seconds: f64, has_sources: bool) -> Row {
         let controllers = usize::from(simulation.controllers());
-        let on_processor = self.on_processor();
+        let processor_share = self.processor_share();
         let since: Vec<Traffic> =
             simulation.traffic.iter().zip(&self.traffic).map(|(n, e)| n.since(e)).collect();
-        let rate = |figure: fn(&Traffic) -> u64| {
-            MeanMax::of(since.iter().take(controllers).map(|traffic| figure(traffic) as f64 / seconds))
+        let rate = |value: fn(&Traffic) -> u64| {
+            MeanMax::of(since.iter().take(controllers).map(|traffic| value(traffic) as f64 / seconds))
         };
         let control = simulation.control_time();
         let shares = control.iter().zip(&self.control_time);
-        let shares = shares.map(|(now, earlier)| (*now - *earlier).as_secs_f64() * on_processor / seconds);
-        let followed = &simulation.followed;
+        let shares = shares.map(|(now, earlier)| (*now - *earlier).as_secs_f64() * processor_share / seconds);
+        let tracked = &simulation.tracked;
         let change = match has_sources {
-            true => merged(followed.changes.values()),
-            false => Known::NoMechanism,
+            true => merge_delays(tracked.changes.values()),
+            false => PropagationResult::NoMechanism,
         };
         let directory = simulation.directories.bytes_out.iter().zip(&self.directory_bytes);
         let directory = directory.map(|(now, earlier)| (now - earlier) as f64 / seconds);
@@ -161,40 +161,41 @@
             bytes: rate(|traffic| traffic.bytes_out + traffic.bytes_in),
             core_share: MeanMax::of(shares),
             call_micros: simulation.call_time().saturating_sub(self.call_time).as_secs_f64()
-                * on_processor
+                * processor_share
                 * 1e6
                 / (simulation.calls.0 - self.calls).max(1) as f64,
             memory_kib: None,
-            entries: simulation.most_entries_held(),
+            entries: simulation.max_entries_held(),
             members_known: self.members_known,
-            drain: merged(followed.drains.values()),
-            death: merged(followed.deaths.values()),
+            drain: merge_delays(tracked.drains.values()),
+            death: merge_delays(tracked.deaths.values()),
             change,
-            replacement: merged(followed.replacements.values()),
+            replacement: merge_delays(tracked.replacements.values()),
             false_suspicions: simulation.false_suspicions,
-            from_strangers: simulation.from_strangers,
+            from_unknown_senders: simulation.from_unknown_senders,
             cold_set_ups: simulation.servers.cold.set_ups,
-            cold_budget: simulation.servers.cold.most_of_budget,
-            cold_fell: simulation.servers.cold.fell,
+            cold_budget: simulation.servers.cold.max_budget_share,
+            cold_failed: simulation.servers.cold.failed_servers,
             calls: simulation.calls,
-            centre: Centre {
-                connections: simulation.directories.most_connections,
-                bytes_a_second: directory.chain(sources).fold(0.0, f64::max),
+            central_servers: CentralServers {
+                connections: simulation.directories.max_connections,
+                bytes_per_second: directory.chain(sources).fold(0.0, f64::max),
                 entries: has_sources.then(|| simulation.source_entries_held()),
             },
         }
     }
 }
 
-/// Memory of a controller of a fleet that has just begun to work, in KiB: what the process grew by since its beginning. Sizes go upwards, so that what an earlier one gave back is not counted as free.
+/// Memory per controller of a fleet that has just started, in KiB, from the growth of this process since its start. Sizes
+/// are measured in ascending order, so that memory released by an earlier one does not hide the growth.
 fn memory_kib(options: &Options, controllers: u16, before: u64, make: Option<MakeControlPlane>) -> f64 {
     let mut simulation = Simulation::new(simulation_config(options, controllers, make));
-    simulation.run_until(simulation.began().plus(options.starts_within()).plus(MEMORY_AFTER));
+    simulation.run_until(simulation.began().plus(options.start_window()).plus(MEMORY_AFTER));
     let grown = used(std::process::id()).memory.saturating_sub(before);
     grown as f64 / 1_024.0 / f64::from(controllers)
 }
 
-/// Runs the jobs on a few threads, the large ones first; rows in the order of the jobs.
+/// Runs the jobs on several threads, the largest first; returns the rows in the order of the jobs.
 fn run_jobs(options: &Options, jobs: &[Job], make: &Option<MakeControlPlane>) -> Vec<Row> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by_key(|number| std::cmp::Reverse(jobs[*number].controllers));
@@ -207,7 +208,7 @@
                 let began = Instant::now();
                 let row = measure(options, controllers, fault, make.clone());
                 let took = began.elapsed().as_secs_f64();
-                // Said at once: a run that is ended early leaves what it has measured.
+                // Printed at once, so that an interrupted run leaves its results.
                 println!("{} took {took:.1} s", row.line());
                 if let Ok(mut done) = done.lock() {
                     done.push((number, row));
@@ -220,7 +221,7 @@
     done.into_iter().map(|(_, row)| row).collect()
 }
 
-/// Runs everything that was asked for; leaves a table and a chart. `true`: no check failed.
+/// Runs all requested measurements and writes a table and a chart. `true`: no check failed.
 pub async fn run(options: &Options) -> Result<bool, LabError> {
     options.check()?;
     let make = options.control_plane.make();
@@ -240,13 +241,13 @@
         row.memory_kib = size.filter(|_| row.fault == Fault::None).map(|at| memory[at]);
     }
     if options.real > 0 {
-        println!("{} real controllers beside {} hollow ones", options.real, options.beside_real);
+        println!("{} real controllers beside {} simulated ones", options.real, options.beside_real);
         rows.push(measure_real(options, &beside("lockpoint")).await?);
     }
-    leave(options, &rows)
+    write_results(options, &rows)
 }
 
-fn leave(options: &Options, rows: &[Row]) -> Result<bool, LabError> {
+fn write_results(options: &Options, rows: &[Row]) -> Result<bool, LabError> {
     let plane = options.control_plane.name();
     let title = format!("Scale run, seed {}, control plane: {plane}", options.seed);
     let table = markdown(rows, &title);
--- a/crates/lockpoint-lab/src/scale/servers.rs
+++ b/crates/lockpoint-lab/src/scale/servers.rs
@@ -1,4 +1,4 @@
-//! The call servers of a scale run: processors that start cold, and the count of what they were sent meanwhile.
+//! The call servers of a scale run: processors that start cold, and counters of the load on them while they are cold.
 
 use lockpoint::core::{
     AttemptError, DirectoryEntry, Progress, Protocol, Refusal, ServerEvent, TransportError,
@@ -8,25 +8,25 @@
 
 use crate::processor::{Offer, Processor, ProcessorConfig};
 
-/// How long a connection to a call server that is not there takes to fail.
+/// Time until a connection to a call server that is down fails.
 const REFUSED_AFTER: Span = Span::from_millis(2);
 /// The port of every call server; its number is in its address.
 const PORT: u16 = 5_060;
 
-/// What cold call servers were sent.
+/// Load on cold call servers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ColdCounts {
-    /// Set-ups.
+    /// Set-ups sent to them.
     pub set_ups: u64,
-    /// The most within the rule's window, as a share of N + 2 sqrt(N) + 2 for a budget of N calls.
-    pub most_of_budget: f64,
-    /// Call servers that fell over.
-    pub fell: u64,
+    /// Highest load within the overload window, as a share of N + 2 sqrt(N) + 2 for a budget of N calls.
+    pub max_budget_share: f64,
+    /// Call servers that failed under overload.
+    pub failed_servers: u64,
 }
 
 struct Server {
     processor: Processor,
-    line: DirectoryEntry,
+    entry: DirectoryEntry,
     down: bool,
 }
 
@@ -34,21 +34,21 @@
 pub struct Servers {
     each: Vec<Server>,
     config: ProcessorConfig,
-    /// What was counted so far.
+    /// Counters of the load on cold call servers.
     pub cold: ColdCounts,
 }
 
 /// The address of a call server.
-fn dial_of(server: u16) -> SocketAddr {
+fn address_of_server(server: u16) -> SocketAddr {
     let [high, low] = server.to_be_bytes();
     SocketAddr::from(([127, 1, high, low], PORT))
 }
 
 /// The call server at an address.
-pub fn server_at(dial: SocketAddr) -> Option<u16> {
-    match dial {
-        SocketAddr::V4(dial) => {
-            let [.., high, low] = dial.ip().octets();
+pub fn server_at(address: SocketAddr) -> Option<u16> {
+    match address {
+        SocketAddr::V4(address) => {
+            let [.., high, low] = address.ip().octets();
             Some(u16::from_be_bytes([high, low]))
         }
         SocketAddr::V6(_) => None,
@@ -56,13 +56,13 @@
 }
 
 impl Servers {
-    /// So many, all warm and ready.
+    /// `count` call servers, all warm and ready.
     pub fn new(count: u16, config: ProcessorConfig, seed: u64) -> Servers {
         let server = |number: u16| Server {
             processor: Processor::new(config, seed.wrapping_add(u64::from(number))),
-            line: DirectoryEntry {
+            entry: DirectoryEntry {
                 host: format!("s{number}"),
-                address: dial_of(number),
+                address: address_of_server(number),
                 protocol: Protocol::Sip,
                 cell: Cell(number),
                 zone: 0,
@@ -74,43 +74,43 @@
         Servers { each: (0..count).map(server).collect(), config, cold: ColdCounts::default() }
     }
 
-    /// How many there are.
+    /// Number of call servers.
     pub fn count(&self) -> u16 {
         self.each.len() as u16
     }
 
-    /// All lines of the directory.
-    pub fn lines(&self) -> Vec<DirectoryEntry> {
-        self.each.iter().map(|server| server.line.clone()).collect()
+    /// All directory entries.
+    pub fn entries(&self) -> Vec<DirectoryEntry> {
+        self.each.iter().map(|server| server.entry.clone()).collect()
     }
 
-    /// The line of one call server.
-    pub fn line(&self, server: u16) -> DirectoryEntry {
-        self.each[usize::from(server)].line.clone()
+    /// The directory entry of one call server.
+    pub fn entry(&self, server: u16) -> DirectoryEntry {
+        self.each[usize::from(server)].entry.clone()
     }
 
-    /// Its process ends.
+    /// Ends a call server's process.
     pub fn kill(&mut self, server: u16) {
         let server = &mut self.each[usize::from(server)];
         server.down = true;
-        server.line.state = ServerState::Gone;
+        server.entry.state = ServerState::Gone;
     }
 
-    /// It is there again, and cold.
+    /// Starts a call server again, cold.
     pub fn start(&mut self, now: Time, server: u16) {
         let server = &mut self.each[usize::from(server)];
         server.processor.start(now);
         server.down = false;
-        server.line.started_ms = now.0 / 1_000;
-        server.line.state = ServerState::Ready;
+        server.entry.started_ms = now.0 / 1_000;
+        server.entry.state = ServerState::Ready;
     }
 
-    /// Its directory says that it takes no new calls.
+    /// Drains a call server: its directory entry reports that it takes no new calls.
     pub fn drain(&mut self, server: u16) {
-        self.each[usize::from(server)].line.state = ServerState::Draining;
+        self.each[usize::from(server)].entry.state = ServerState::Draining;
     }
 
-    /// A set-up reaches it: when it says what.
+    /// Handles a set-up; returns the call server's reply and its time.
     pub fn offer(&mut self, now: Time, number: u16) -> (Time, ServerEvent) {
         let server = &mut self.each[usize::from(number)];
         if server.down {
@@ -123,7 +123,7 @@
             let sent = self.each[usize::from(number)].processor.pressure(now) * budget;
             let allowed = budget + 2.0 * budget.sqrt() + 2.0;
             self.cold.set_ups += 1;
-            self.cold.most_of_budget = self.cold.most_of_budget.max(sent / allowed);
+            self.cold.max_budget_share = self.cold.max_budget_share.max(sent / allowed);
         }
         match offer {
             Offer::Taken(at) => (at, ServerEvent::Answered("y".into())),
@@ -132,13 +132,13 @@
             }
             Offer::Tipped => {
                 self.each[usize::from(number)].down = true;
-                self.cold.fell += 1;
+                self.cold.failed_servers += 1;
                 (now.plus(REFUSED_AFTER), not_connected())
             }
         }
     }
 
-    /// A call that stood ends: when its release is said.
+    /// Ends an established call; returns when its release is confirmed.
     pub fn release(&mut self, now: Time, server: u16) -> Time {
         self.each[usize::from(server)].processor.release(now)
     }
--- a/crates/lockpoint-lab/src/scale/services.rs
+++ b/crates/lockpoint-lab/src/scale/services.rs
@@ -1,13 +1,13 @@
-//! Services and the call servers that carry them: a few services of many call servers, many services of two or three.
+//! Services and their call servers: a few services with many call servers, many services with two or three.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 /// Call servers of a large service.
 const LARGE: u16 = 60;
-/// One service in so many is a large one; there is at least one.
+/// One service in this many is large; there is at least one.
 const ONE_LARGE_IN: u16 = 15;
-/// Call servers of a small service, the fewest and the most.
+/// Minimum and maximum number of call servers of a small service.
 const SMALL: (u16, u16) = (2, 3);
 
 /// The call servers of one service.
@@ -17,8 +17,8 @@
     pub servers: Vec<u16>,
 }
 
-/// Draws the services by a seed. Call servers are taken from a shuffled ring: where the services need more than there
-/// are, some call servers carry several.
+/// Generates the services from a seed. Call servers are taken from a shuffled ring; if the services need more than there
+/// are, some call servers belong to several services.
 pub fn draw(services: u16, servers: u16, seed: u64) -> Vec<Service> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7365_7276);
     let ring = shuffled(servers, &mut rng);
--- a/crates/lockpoint-lab/src/scale/simulation/calls.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/calls.rs
@@ -1,10 +1,10 @@
-//! Calls: how they come in, and what the controllers' cores ask for.
+//! Call arrivals, and the effects of the controllers' cores.
 
 use lockpoint::core::{Effect, Input, ServerEvent, SetUp, Sid};
 use lockpoint::interface::{Cell, ServerId};
 
 use super::event::Event;
-use super::{Simulation, HOLD, PATIENCE};
+use super::{Simulation, CALLER_TIMEOUT, CALL_DURATION};
 use crate::scale::address::Address;
 use crate::scale::arrivals::Arrival;
 use crate::scale::controller::{Channel, CLIENT};
@@ -20,7 +20,7 @@
             sid: Sid::from_number(self.calls_made),
             class: self.class_names[usize::from(arrival.service)].clone(),
             tenant: None,
-            left: PATIENCE,
+            left: CALLER_TIMEOUT,
             number: "7f".into(),
             dest: Some(Cell(arrival.server)),
             redialled: false,
@@ -29,24 +29,24 @@
         self.input(arrival.controller, Input::SetUp(CLIENT, set_up));
     }
 
-    pub(super) fn server_says(
+    pub(super) fn server_replies(
         &mut self,
         member: u16,
         address: Address,
         server: u16,
         sid: Sid,
-        says: ServerEvent,
+        reply: ServerEvent,
     ) {
-        if matches!(says, ServerEvent::Answered(_)) {
+        if matches!(reply, ServerEvent::Answered(_)) {
             let ends = Event::CallEnds { controller: member, address, server, sid };
-            self.schedule(self.now.plus(HOLD), ends);
+            self.schedule(self.now.plus(CALL_DURATION), ends);
         }
         let Some(controller) = self.controllers[usize::from(member)].as_ref() else { return };
         if controller.address != address {
             return;
         }
         if let Some(id) = controller.server_id(server) {
-            self.input(member, Input::Server(id, sid, says));
+            self.input(member, Input::Server(id, sid, reply));
         }
     }
 
@@ -61,47 +61,47 @@
     pub(super) fn carry_out(&mut self, member: u16, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Connect { server, address, .. } => self.reach(member, server, address),
+                Effect::Connect { server, address, .. } => self.server_connected(member, server, address),
                 Effect::Invite { server, sid, .. } => self.invite(member, server, sid),
                 Effect::Answer(..) => self.calls.1 += 1,
                 Effect::Release(_, sid, _) => self.input(member, Input::ReleaseConfirmed(sid)),
-                Effect::SendToPeers(Some(to), bytes) => self.tell(member, to, bytes),
-                Effect::CancelQueued(server) => self.withdrawn(member, server),
+                Effect::SendToPeers(Some(to), bytes) => self.send_to_peer(member, to, bytes),
+                Effect::CancelQueued(server) => self.queue_cancelled(member, server),
                 Effect::Log(_) => self.check_suspicions(member),
                 _ => {}
             }
         }
-        self.book(member);
+        self.schedule_wake(member);
     }
 
-    pub(super) fn reach(&mut self, member: u16, id: ServerId, dial: std::net::SocketAddr) {
+    pub(super) fn server_connected(&mut self, member: u16, id: ServerId, dial: std::net::SocketAddr) {
         let controller = self.controllers[usize::from(member)].as_mut();
         if let (Some(controller), Some(server)) = (controller, server_at(dial)) {
             controller.note_server(id, server);
         }
     }
 
-    pub(super) fn tell(&mut self, member: u16, to: u16, bytes: Vec<u8>) {
+    pub(super) fn send_to_peer(&mut self, member: u16, to: u16, bytes: Vec<u8>) {
         let Some(controller) = self.controllers[usize::from(member)].as_ref() else { return };
         if let Some(to) = controller.address_book.address_of(to) {
             self.send(member, to, Channel::Fleet, bytes);
         }
     }
 
-    /// A set-up reaches a call server.
+    /// Handles a set-up that reaches a call server.
     pub(super) fn invite(&mut self, member: u16, id: ServerId, sid: Sid) {
         let Some(controller) = self.controllers[usize::from(member)].as_ref() else { return };
         let (address, Some(server)) = (controller.address, controller.server(id)) else { return };
-        let (at, says) = self.servers.offer(self.now, server);
-        self.schedule(at, Event::Says { controller: member, address, server, sid, says });
+        let (at, reply) = self.servers.offer(self.now, server);
+        self.schedule(at, Event::ServerReplies { controller: member, address, server, sid, reply });
     }
 
-    /// A controller sends a call server nothing more: it knows that it drains.
-    pub(super) fn withdrawn(&mut self, member: u16, id: ServerId) {
+    /// A controller cancels its queue for a call server: it has been notified of the drain.
+    pub(super) fn queue_cancelled(&mut self, member: u16, id: ServerId) {
         let server = self.controllers[usize::from(member)].as_ref().and_then(|c| c.server(id));
-        let spread = server.and_then(|server| self.followed.drains.get_mut(&server));
-        if let Some(spread) = spread {
-            spread.known(self.now, member);
+        let propagation = server.and_then(|server| self.tracked.drains.get_mut(&server));
+        if let Some(propagation) = propagation {
+            propagation.record(self.now, member);
         }
     }
 }
--- a/crates/lockpoint-lab/src/scale/simulation/event.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What can happen in a simulation, and the order in which it does.
+//! Events of a simulation and their order.
 
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -11,41 +11,41 @@
 use crate::scale::control_plane::ChangeId;
 use crate::scale::controller::Channel;
 
-/// Something that happens to the fleet.
+/// An action of a script on the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// A controller's process ends and does not come back.
     Kill(u16),
-    /// A controller that is dead starts again at its address, and knows nothing.
+    /// A controller that has ended starts again at its address, without state.
     Restart(u16),
     /// A controller ends, and one with the same number starts at a new address.
     Replace(u16),
-    /// A call server's process ends, and the directories say so.
+    /// A call server's process ends, and the directories report it.
     KillServer(u16),
-    /// A call server starts again, cold, and the directories say so.
+    /// A call server starts again, cold, and the directories report it.
     StartServer(u16),
-    /// The directory of one controller alone says that a call server drains.
-    DrainToldTo(u16, u16),
+    /// The directory of a single controller announces that a call server drains.
+    NotifyDrain(u16, u16),
     /// An operator changes the configuration at a member.
     Propose(u16, ChangeId),
     /// A region is cut off from the others.
     CutRegion(u16),
     /// All regions reach each other again.
     HealRegions,
-    /// From now on so many datagrams in a thousand get lost.
-    LoseOfThousand(u16),
+    /// From now on this many datagrams in a thousand are lost.
+    SetLossPerThousand(u16),
 }
 
-/// What is due at a moment.
+/// A scheduled event.
 pub(super) enum Event {
     Act(Action),
     Start(u16),
     Wake(u16, Address),
     Deliver(Delivery),
     Arrive(Arrival),
-    Says { controller: u16, address: Address, server: u16, sid: Sid, says: ServerEvent },
+    ServerReplies { controller: u16, address: Address, server: u16, sid: Sid, reply: ServerEvent },
     CallEnds { controller: u16, address: Address, server: u16, sid: Sid },
-    Listed { controller: u16, lines: Rc<Vec<DirectoryEntry>>, whole: bool },
+    ListUpdate { controller: u16, lines: Rc<Vec<DirectoryEntry>>, whole: bool },
 }
 
 /// A datagram for a remote controller, or from one.
@@ -55,19 +55,19 @@
     pub from: u16,
     /// Number of the receiver.
     pub to: u16,
-    /// What it says.
+    /// Payload.
     pub bytes: Rc<[u8]>,
 }
 
-/// A datagram on its way.
+/// A datagram in transit.
 pub(super) struct Delivery {
-    /// Who sent it.
+    /// Sender.
     pub from: Address,
-    /// Whom it is for.
+    /// Destination.
     pub to: Address,
     /// Which part of a controller it is for.
     pub channel: Channel,
-    /// What it says.
+    /// Payload.
     pub bytes: Rc<[u8]>,
 }
 
@@ -75,9 +75,9 @@
 pub(super) struct Scheduled {
     /// When it is due.
     pub at: Time,
-    /// Of two at one moment the one that was scheduled first is first.
+    /// Sequence number: events due at the same time are handled in the order in which they were scheduled.
     pub order: u64,
-    /// What is due.
+    /// The event.
     pub event: Event,
 }
 
--- a/crates/lockpoint-lab/src/scale/simulation/mod.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of hollow controllers in simulated time: one queue of events, one random generator, one thread. The same seed
-//! gives the same run.
+//! A fleet of simulated controllers in simulated time: one queue of events, one random generator, one thread. Runs with
+//! the same seed are identical.
 
 mod actions;
 mod calls;
@@ -20,12 +20,12 @@
 use super::address::{Address, AddressBook};
 use super::arrivals::Arrivals;
 use super::control_plane::{ChangeId, MakeControlPlane};
-use super::controller::{Channel, HollowController};
-use super::directory::{Directories, MACHINES};
+use super::controller::{Channel, SimulatedController};
+use super::directory::{Directories, CENTRAL_SERVERS};
 use super::links::Links;
+use super::propagation::Propagation;
 use super::servers::Servers;
 use super::services::Service;
-use super::spread::Spread;
 use super::topology::Topology;
 use super::traffic::Traffic;
 use crate::path::chance;
@@ -34,116 +34,116 @@
 use event::{Event, Scheduled};
 
 /// When a simulation begins.
-const BEGIN: Time = Time(1_000_000_000);
-/// How long a caller waits for an answer.
-const PATIENCE: Span = Span::from_millis(9_000);
-/// A call that stands within this earns its full worth.
-const AIM: Span = Span::from_millis(2_000);
-/// How long a call stands.
-const HOLD: Span = Span::from_millis(4_000);
-/// Calls a second that all call servers bear together, as a multiple of those that come.
+const START_TIME: Time = Time(1_000_000_000);
+/// How long a caller waits for its call to be established.
+const CALLER_TIMEOUT: Span = Span::from_millis(9_000);
+/// Target time for establishing a call, within which it has its full worth.
+const SETUP_TARGET: Span = Span::from_millis(2_000);
+/// Duration of an established call.
+const CALL_DURATION: Span = Span::from_millis(4_000);
+/// Capacity of all call servers together, as a multiple of the call rate.
 const HEADROOM: f64 = 2.0;
-/// Calls a second that a call server bears at least, so that a single call does not fill it.
-const LEAST_CAPACITY: f64 = 5.0;
-/// The longest that a directory's news takes to reach a controller.
-const DIRECTORY_DELAY: Span = Span::from_millis(300);
+/// Smallest capacity of a call server in calls per second, so that a single call does not fill it.
+const MIN_CAPACITY: f64 = 5.0;
+/// Longest delay of a directory update to a controller.
+const MAX_DIRECTORY_DELAY: Span = Span::from_millis(300);
 
-/// What a simulation is made of.
+/// Configuration of a simulation.
 #[derive(Clone)]
 pub struct SimulationConfig {
     /// Controllers, remote ones included.
     pub controllers: u16,
-    /// Those of them, the last ones, that are processes of their own: what is sent to them is handed out, what they
-    /// send is handed in.
+    /// Number of them, the last ones, that are real processes: datagrams to them are put into the outbox, datagrams from
+    /// them are passed in.
     pub remote: u16,
-    /// Call servers.
+    /// Number of call servers.
     pub servers: u16,
-    /// The services that they carry.
+    /// The services and their call servers.
     pub services: Vec<Service>,
-    /// Controllers start at drawn moments within this, so that their rounds are not in step.
-    pub starts_within: Span,
-    /// Where all stand.
+    /// Controllers start at random times within this, so that their periodic work is not synchronized.
+    pub start_window: Span,
+    /// Location of the members.
     pub topology: Topology,
-    /// Calls a second that come to each controller.
+    /// Calls per second at each controller.
     pub calls_per_controller: f64,
-    /// For all draws.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// What spreads changes of configuration; `None`: nothing does.
+    /// Creates the module that distributes configuration changes; `None`: there is none.
     pub make_control_plane: Option<MakeControlPlane>,
 }
 
-/// News that the simulation follows.
+/// Updates whose propagation is measured.
 #[derive(Default)]
-pub struct Followed {
-    /// By call server, that it drains.
-    pub drains: BTreeMap<u16, Spread>,
-    /// By member, that it is dead.
-    pub deaths: BTreeMap<u16, Spread>,
-    /// By change, that it is in force.
-    pub changes: BTreeMap<ChangeId, Spread>,
-    /// By member that was replaced, that its new address is heard.
-    pub replacements: BTreeMap<u16, Spread>,
+pub struct TrackedUpdates {
+    /// Drains, by call server.
+    pub drains: BTreeMap<u16, Propagation>,
+    /// Deaths, by member.
+    pub deaths: BTreeMap<u16, Propagation>,
+    /// Configuration changes.
+    pub changes: BTreeMap<ChangeId, Propagation>,
+    /// Replacements, by member: the first datagram from the new address.
+    pub replacements: BTreeMap<u16, Propagation>,
 }
 
 /// A fleet in simulated time.
 pub struct Simulation {
-    /// The time.
+    /// The simulated time.
     pub now: Time,
     /// The links between controllers.
     pub links: Links,
     /// The call servers.
     pub servers: Servers,
-    /// The centre as it is today.
+    /// The directories on the central servers.
     pub directories: Directories,
-    /// The news whose spread is measured.
-    pub followed: Followed,
-    /// By member, its control traffic so far.
+    /// The updates whose propagation is measured.
+    pub tracked: TrackedUpdates,
+    /// Control traffic so far, by member.
     pub traffic: Vec<Traffic>,
-    /// Suspicions of members that were alive and could be reached, at least.
+    /// Lower bound on the suspicions of members that were running and reachable.
     pub false_suspicions: u64,
-    /// Datagrams that a controller dropped as they came from an address that it does not know.
-    pub from_strangers: u64,
-    /// Calls that came, and those that stood.
+    /// Datagrams dropped by controllers because the sender's address was unknown.
+    pub from_unknown_senders: u64,
+    /// Calls placed, and calls established.
     pub calls: (u64, u64),
-    /// Datagrams that have arrived at remote controllers, to be handed out.
+    /// Datagrams that have arrived for remote controllers.
     pub outbox: Vec<RemoteDatagram>,
     config: SimulationConfig,
     settings: Settings,
     class_names: Vec<Rc<str>>,
-    /// By member; `None`: it is dead.
-    controllers: Vec<Option<HollowController>>,
-    /// Members that each controller suspected last.
+    /// By member; `None`: it is not running.
+    controllers: Vec<Option<SimulatedController>>,
+    /// Number of members that each controller suspected last.
     suspected: Vec<usize>,
     members: HashMap<Address, u16>,
     address_book: Rc<AddressBook>,
     addresses: Vec<Address>,
-    /// How many sources there are; they have the numbers after the controllers.
+    /// Number of control-plane sources; their numbers follow those of the controllers.
     sources: u16,
     next_address: u32,
     dead: BTreeSet<u16>,
-    /// Members that have another address than the first lists say.
+    /// Members that no longer have their initial address.
     replaced: BTreeSet<u16>,
     arrivals: Arrivals,
     calls_made: u64,
-    /// Time on control that ended processes had spent, by member.
+    /// Processing time of control traffic in ended processes, by member.
     ended_control_time: Vec<Duration>,
     queue: BinaryHeap<Reverse<Scheduled>>,
     scheduled: u64,
     rng: Pcg64Mcg,
 }
 
-/// The processor of a call server that bears its share of the calls.
+/// The processor model of a call server, sized for its share of the calls.
 pub fn processor(config: &SimulationConfig) -> ProcessorConfig {
     let rate = config.calls_per_controller * f64::from(config.controllers);
     ProcessorConfig {
-        capacity: (rate * HEADROOM / f64::from(config.servers.max(1))).max(LEAST_CAPACITY),
+        capacity: (rate * HEADROOM / f64::from(config.servers.max(1))).max(MIN_CAPACITY),
         ..ProcessorConfig::default()
     }
 }
 
 fn settings(config: &SimulationConfig, processor: &ProcessorConfig) -> Settings {
     let class = |service: &Service| ClassSettings {
-        setup_target: AIM,
+        setup_target: SETUP_TARGET,
         worth: 1.0,
         late_worth: 0.1,
         cells: Some(service.servers.iter().map(|server| Cell(*server)).collect()),
@@ -168,23 +168,23 @@
 }
 
 impl Simulation {
-    /// All controllers about to start, all call servers warm, no call yet.
+    /// A simulation whose controllers are about to start; all call servers are warm, and there are no calls yet.
     pub fn new(config: SimulationConfig) -> Simulation {
         let processor = processor(&config);
-        let sources = if config.make_control_plane.is_some() { MACHINES } else { 0 };
+        let sources = if config.make_control_plane.is_some() { CENTRAL_SERVERS } else { 0 };
         let members = config.controllers + sources;
         let addresses: Vec<Address> = (0..u32::from(members)).map(Address).collect();
         let rate = config.calls_per_controller * f64::from(config.controllers);
         let slots = usize::from(members);
         let mut simulation = Simulation {
-            now: BEGIN,
+            now: START_TIME,
             links: Links::new(config.topology),
             servers: Servers::new(config.servers, processor, config.seed),
             directories: Directories::new(),
-            followed: Followed::default(),
+            tracked: TrackedUpdates::default(),
             traffic: vec![Traffic::default(); slots],
             false_suspicions: 0,
-            from_strangers: 0,
+            from_unknown_senders: 0,
             calls: (0, 0),
             outbox: Vec::new(),
             settings: settings(&config, &processor),
@@ -206,70 +206,70 @@
             rng: Pcg64Mcg::seed_from_u64(config.seed),
             config,
         };
-        simulation.directories.connect(simulation.config.controllers, MACHINES);
-        let hollow = simulation.config.controllers - simulation.config.remote;
-        let starting = (0..hollow).chain(simulation.config.controllers..members);
+        simulation.directories.connect(simulation.config.controllers, CENTRAL_SERVERS);
+        let simulated = simulation.config.controllers - simulation.config.remote;
+        let starting = (0..simulated).chain(simulation.config.controllers..members);
         for member in starting {
-            let offset = simulation.config.starts_within.scale(chance(&mut simulation.rng));
-            simulation.schedule(BEGIN.plus(offset), Event::Start(member));
+            let offset = simulation.config.start_window.scale(chance(&mut simulation.rng));
+            simulation.schedule(START_TIME.plus(offset), Event::Start(member));
         }
-        let first = simulation.arrivals.next(BEGIN.plus(simulation.config.starts_within));
+        let first = simulation.arrivals.next(START_TIME.plus(simulation.config.start_window));
         simulation.schedule(first.at, Event::Arrive(first));
         simulation
     }
 
-    /// When the simulation began.
+    /// Start time of the simulation.
     pub fn began(&self) -> Time {
-        BEGIN
+        START_TIME
     }
 
-    /// Controllers in all, dead ones included.
+    /// Number of controllers, including ended ones.
     pub fn controllers(&self) -> u16 {
         self.config.controllers
     }
 
-    /// Calls a second that come to all controllers together.
+    /// Calls per second over all controllers.
     pub fn call_rate(&self) -> f64 {
         self.config.calls_per_controller * f64::from(self.config.controllers)
     }
 
-    /// Lets something happen at a moment.
+    /// Schedules an action.
     pub fn act_at(&mut self, at: Time, action: Action) {
         self.schedule(at, Event::Act(action));
     }
 
-    /// Lets time pass until `end`.
+    /// Runs the simulation until `end`.
     pub fn run_until(&mut self, end: Time) {
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= end) {
             let Some(Reverse(next)) = self.queue.pop() else { break };
             self.now = self.now.max(next.at);
-            self.happen(next.event);
+            self.handle_event(next.event);
         }
         self.now = self.now.max(end);
     }
 
-    /// A datagram of a remote controller sets out.
+    /// Sends a datagram of a remote controller.
     pub fn send_from_remote(&mut self, datagram: RemoteDatagram) {
         let to = self.addresses[usize::from(datagram.to)];
         self.send(datagram.from, to, Channel::Fleet, datagram.bytes.to_vec());
     }
 
-    /// By controller, the time that it has spent on control.
+    /// Processing time of control traffic, by controller.
     pub fn control_time(&self) -> Vec<Duration> {
         let each = self.controllers.iter().zip(&self.ended_control_time);
-        let time = |(controller, ended): (&Option<HollowController>, &Duration)| {
+        let time = |(controller, ended): (&Option<SimulatedController>, &Duration)| {
             *ended + controller.as_ref().map_or(Duration::ZERO, |controller| controller.control_time)
         };
         each.map(time).take(usize::from(self.config.controllers)).collect()
     }
 
-    /// Time that all controllers alive have spent on calls, together.
+    /// Processing time of calls, summed over the running controllers.
     pub fn call_time(&self) -> Duration {
         self.controllers.iter().flatten().map(|controller| controller.call_time).sum()
     }
 
-    /// The most call servers that a controller holds something of.
-    pub fn most_entries_held(&self) -> usize {
+    /// Highest number of call servers of which one controller has an observation.
+    pub fn max_entries_held(&self) -> usize {
         let alive = self.controllers.iter().flatten();
         alive.map(|controller| controller.entries_held(self.now)).max().unwrap_or(0)
     }
@@ -279,22 +279,22 @@
         self.queue.push(Reverse(Scheduled { at, order: self.scheduled, event }));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Act(action) => self.act(action),
             Event::Start(member) => self.start(member),
             Event::Wake(member, address) => self.wake(member, address),
             Event::Deliver(delivery) => self.deliver(&delivery),
             Event::Arrive(arrival) => self.arrive(arrival),
-            Event::Says { controller, address, server, sid, says } => {
-                self.server_says(controller, address, server, sid, says);
+            Event::ServerReplies { controller, address, server, sid, reply } => {
+                self.server_replies(controller, address, server, sid, reply);
             }
             Event::CallEnds { controller, address, server, sid } => {
                 let at = self.servers.release(self.now, server);
-                let says = ServerEvent::Released(16, Vec::new());
-                self.schedule(at, Event::Says { controller, address, server, sid, says });
+                let reply = ServerEvent::Released(16, Vec::new());
+                self.schedule(at, Event::ServerReplies { controller, address, server, sid, reply });
             }
-            Event::Listed { controller, lines, whole } => {
+            Event::ListUpdate { controller, lines, whole } => {
                 self.directories.answer(controller, &lines);
                 let hosts = lines.as_ref().clone();
                 self.input(controller, Input::List { source: Source::Bulletin, whole, hosts });
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Members that the control planes of the controllers know: the fewest that one knows, and the mean.
+    /// Members known to the controllers' control planes: the minimum and the mean.
     pub fn members_known(&self) -> Option<(usize, f64)> {
         let alive = self.controllers.iter().take(usize::from(self.config.controllers)).flatten();
         let planes = alive.filter_map(|controller| controller.control_plane.as_ref());
@@ -311,7 +311,7 @@
         Some((fewest, known.iter().sum::<usize>() as f64 / known.len() as f64))
     }
 
-    /// The control planes of the machines set aside for control, for their memory.
+    /// Highest number of entries held by a control-plane source.
     pub fn source_entries_held(&self) -> usize {
         let sources = self.controllers.iter().skip(usize::from(self.config.controllers)).flatten();
         let planes = sources.filter_map(|source| source.control_plane.as_ref());
--- a/crates/lockpoint-lab/src/scale/simulation/network.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Datagrams between controllers, and what a controller learns from them.
+//! Datagrams between controllers, and the tracking of the updates that they carry.
 
 use super::event::{Delivery, Event, RemoteDatagram};
 use super::Simulation;
@@ -18,7 +18,7 @@
         let Some(member) = self.members.get(&delivery.to).copied() else { return };
         let now = self.now;
         if self.is_remote(member) {
-            return self.hand_out(member, delivery);
+            return self.deliver_to_remote(member, delivery);
         }
         let Some(controller) = self.controllers[usize::from(member)].as_mut() else { return };
         if controller.address != delivery.to {
@@ -28,14 +28,14 @@
         let mut effects = Vec::new();
         let taken = controller.receive(now, delivery.from, delivery.channel, &delivery.bytes, &mut effects);
         if !taken {
-            self.from_strangers += 1;
+            self.from_unknown_senders += 1;
             return;
         }
         if delivery.channel == Channel::ControlPlane {
             self.check_control_plane(member);
         } else if let Some(sender) = self.members.get(&delivery.from) {
-            if let Some(spread) = self.followed.replacements.get_mut(sender) {
-                spread.known(now, member);
+            if let Some(propagation) = self.tracked.replacements.get_mut(sender) {
+                propagation.record(now, member);
             }
         }
         self.carry_out(member, effects);
@@ -46,13 +46,13 @@
         (config.controllers - config.remote..config.controllers).contains(&member)
     }
 
-    pub(super) fn hand_out(&mut self, to: u16, delivery: &Delivery) {
+    pub(super) fn deliver_to_remote(&mut self, to: u16, delivery: &Delivery) {
         let Some(from) = self.members.get(&delivery.from).copied() else { return };
         self.traffic[usize::from(to)].received(delivery.bytes.len());
         self.outbox.push(RemoteDatagram { from, to, bytes: delivery.bytes.clone() });
     }
 
-    /// Notes what a controller learned from the control plane.
+    /// Records the tracked updates that a controller has received through the control plane.
     pub(super) fn check_control_plane(&mut self, member: u16) {
         let now = self.now;
         if member >= self.config.controllers {
@@ -60,43 +60,44 @@
         }
         let Some(controller) = self.controllers[usize::from(member)].as_ref() else { return };
         let Some(plane) = controller.control_plane.as_ref() else { return };
-        for (change, spread) in &mut self.followed.changes {
-            if !spread.is_known_to(member) && plane.is_in_force(*change) {
-                spread.known(now, member);
+        for (change, propagation) in &mut self.tracked.changes {
+            if !propagation.has_reached(member) && plane.is_in_force(*change) {
+                propagation.record(now, member);
             }
         }
-        for (dead, spread) in &mut self.followed.deaths {
-            if !spread.is_known_to(member) && !plane.knows_member(self.addresses[usize::from(*dead)]) {
-                spread.known(now, member);
+        for (dead, propagation) in &mut self.tracked.deaths {
+            if !propagation.has_reached(member) && !plane.knows_member(self.addresses[usize::from(*dead)]) {
+                propagation.record(now, member);
             }
         }
-        for (replaced, spread) in &mut self.followed.replacements {
-            if !spread.is_known_to(member) && plane.knows_member(self.addresses[usize::from(*replaced)]) {
-                spread.known(now, member);
+        for (replaced, propagation) in &mut self.tracked.replacements {
+            if !propagation.has_reached(member) && plane.knows_member(self.addresses[usize::from(*replaced)])
+            {
+                propagation.record(now, member);
             }
         }
     }
 
-    /// A controller has said something; if it is that it lost others, that is checked against what is so.
+    /// Compares the peers that a controller considers lost with those that are down or unreachable.
     pub(super) fn check_suspicions(&mut self, member: u16) {
         let Some(controller) = self.controllers[usize::from(member)].as_ref() else { return };
         let lost = controller.lost_members();
         let before = std::mem::replace(&mut self.suspected[usize::from(member)], lost);
         let others = (0..self.config.controllers).filter(|other| *other != member);
-        // Nobody answers any more where a replaced one was: that it is gone is true as far as an old list goes.
+        // A replaced controller does not answer at its old address, so a controller with an old list rightly considers it lost.
         let gone = |other: &u16| {
             self.dead.contains(other)
                 || self.replaced.contains(other)
-                || self.links.are_parted(member, *other)
+                || self.links.are_partitioned(member, *other)
         };
         let justified = others.filter(gone).count();
         if lost > before {
             self.false_suspicions += lost.saturating_sub(justified.max(before)) as u64;
         }
-        // With a control plane it is that which tells of deaths.
+        // With a control plane, deaths are detected through it.
         if controller.control_plane.is_none() && lost >= self.dead.len() {
             let now = self.now;
-            self.followed.deaths.values_mut().for_each(|spread| spread.known(now, member));
+            self.tracked.deaths.values_mut().for_each(|propagation| propagation.record(now, member));
         }
     }
 }
--- a/crates/lockpoint-lab/src/scale/simulation/processes.rs
+++ b/crates/lockpoint-lab/src/scale/simulation/processes.rs
@@ -5,26 +5,26 @@
 use lockpoint::interface::{Settings, Time};
 
 use super::event::Event;
-use super::{Simulation, PATIENCE};
+use super::{Simulation, CALLER_TIMEOUT};
 use crate::scale::address::Address;
 use crate::scale::control_plane::{ControlPlaneConfig, Role};
-use crate::scale::controller::{Channel, HollowController, CLIENT};
-use crate::scale::directory::MACHINES;
+use crate::scale::controller::{Channel, SimulatedController, CLIENT};
+use crate::scale::directory::CENTRAL_SERVERS;
 
 impl Simulation {
-    /// A controller's process ends; whatever it had to say is lost.
+    /// Ends a controller's process; its pending datagrams are lost.
     pub(super) fn end(&mut self, member: u16) {
         let Some(ended) = self.controllers[usize::from(member)].take() else { return };
         self.ended_control_time[usize::from(member)] += ended.control_time;
         self.suspected[usize::from(member)] = 0;
-        let followed = &mut self.followed;
-        let spreads = followed
+        let tracked = &mut self.tracked;
+        let propagations = tracked
             .drains
             .values_mut()
-            .chain(followed.deaths.values_mut())
-            .chain(followed.changes.values_mut())
-            .chain(followed.replacements.values_mut());
-        spreads.for_each(|spread| spread.excuse(member));
+            .chain(tracked.deaths.values_mut())
+            .chain(tracked.changes.values_mut())
+            .chain(tracked.replacements.values_mut());
+        propagations.for_each(|propagation| propagation.stop_expecting(member));
     }
 
     pub(super) fn start(&mut self, member: u16) {
@@ -48,25 +48,25 @@
         };
         let control_plane = self.config.make_control_plane.as_ref().map(|make| make(&plane_config, now));
         let core = self.core_config(member, is_source, seed);
-        let controller = HollowController::new(core, address, self.address_book.clone(), control_plane);
+        let controller = SimulatedController::new(core, address, self.address_book.clone(), control_plane);
         self.controllers[usize::from(member)] = Some(controller);
         if is_source {
-            return self.book(member);
+            return self.schedule_wake(member);
         }
         self.input(member, Input::ClientUp(CLIENT));
-        let hosts = self.servers.lines();
+        let hosts = self.servers.entries();
         self.directories.answer(member, &hosts);
         self.input(member, Input::List { source: Source::Bulletin, whole: true, hosts });
     }
 
-    /// The sources, the best home of a member first: of its region, so that a cut does not part them, and of another zone,
-    /// so that a zone does not fail together with the homes of its members.
+    /// The sources in a member's order of preference: in its region, so that a cut region does not separate them, and in
+    /// another zone, so that a member and its preferred source do not fail together with a zone.
     fn sources_by_preference(&self, member: u16) -> Vec<Address> {
         let topology = self.config.topology;
         let preference = |source: u16| {
             let other_region = topology.region_of(source) != topology.region_of(member);
             let same_zone = topology.zone_of(source) == topology.zone_of(member);
-            (other_region, same_zone, (source + member) % MACHINES)
+            (other_region, same_zone, (source + member) % CENTRAL_SERVERS)
         };
         let first = self.config.controllers;
         let mut sources: Vec<u16> = (first..first + self.sources).collect();
@@ -89,7 +89,7 @@
             tenants: Vec::new(),
             max_pending_calls: 20_000,
             max_pending_bytes: 8 << 20,
-            max_caller_wait: PATIENCE,
+            max_caller_wait: CALLER_TIMEOUT,
             seed,
             fleet: (!is_source).then_some(fleet),
         }
@@ -98,11 +98,11 @@
     pub(super) fn wake(&mut self, member: u16, address: Address) {
         let now = self.now;
         let Some(controller) = self.controllers[usize::from(member)].as_mut() else { return };
-        // Booked for another moment since, or by a process that has ended.
-        if controller.address != address || controller.booked != Some(now) {
+        // Rescheduled since, or scheduled by a process that has ended.
+        if controller.address != address || controller.wake_at != Some(now) {
             return;
         }
-        controller.booked = None;
+        controller.wake_at = None;
         let (mut effects, mut sent) = (Vec::new(), Vec::new());
         controller.wake(now, &mut effects, &mut sent);
         for (to, bytes) in sent {
@@ -112,12 +112,12 @@
         self.carry_out(member, effects);
     }
 
-    /// Notes when a controller has something to do next.
-    pub(super) fn book(&mut self, member: u16) {
+    /// Schedules a controller's next wake-up.
+    pub(super) fn schedule_wake(&mut self, member: u16) {
         let Some(controller) = self.controllers[usize::from(member)].as_mut() else { return };
         let Some(due) = controller.next_due().map(|due| due.max(self.now)) else { return };
-        if controller.booked.is_none_or(|booked| due < booked) {
-            controller.booked = Some(due);
+        if controller.wake_at.is_none_or(|wake_at| due < wake_at) {
+            controller.wake_at = Some(due);
             let address = controller.address;
             self.schedule(due, Event::Wake(member, address));
         }
--- a/crates/lockpoint-lab/src/scale/topology.rs
+++ b/crates/lockpoint-lab/src/scale/topology.rs
@@ -1,9 +1,9 @@
-//! Where controllers and call servers stand: regions, zones and racks.
+//! Location of controllers and call servers: regions, zones and racks.
 
 /// Racks of a whole deployment, spread evenly over the zones.
 pub const RACKS: u16 = 24;
 
-/// The layout of a deployment. Members are dealt out to the racks in turn, so that each place holds its share.
+/// The layout of a deployment. Members are dealt out to the racks in turn, so that they are spread evenly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Topology {
     /// Regions.
--- a/crates/lockpoint-lab/src/scale/traffic.rs
+++ b/crates/lockpoint-lab/src/scale/traffic.rs
@@ -1,32 +1,32 @@
-//! Control traffic as the links count it, by member.
+//! Counters of control traffic, kept by the links for each member.
 
-/// What one member sent and received. Bytes are those of the payload, without the 28 of UDP and IP.
+/// Traffic of one member. Bytes are those of the payload, without the 28 bytes of UDP and IP headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Datagrams sent.
     pub datagrams_out: u64,
-    /// Their bytes.
+    /// Bytes sent.
     pub bytes_out: u64,
-    /// Datagrams that arrived.
+    /// Datagrams received.
     pub datagrams_in: u64,
-    /// Their bytes.
+    /// Bytes received.
     pub bytes_in: u64,
 }
 
 impl Traffic {
-    /// A datagram of so many bytes was sent.
+    /// Counts a sent datagram.
     pub fn sent(&mut self, bytes: usize) {
         self.datagrams_out += 1;
         self.bytes_out += bytes as u64;
     }
 
-    /// A datagram of so many bytes arrived.
+    /// Counts a received datagram.
     pub fn received(&mut self, bytes: usize) {
         self.datagrams_in += 1;
         self.bytes_in += bytes as u64;
     }
 
-    /// What came since an earlier count.
+    /// The traffic since an earlier count.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
         Traffic {
             datagrams_out: self.datagrams_out - earlier.datagrams_out,
@@ -37,17 +37,17 @@
     }
 }
 
-/// A figure over all members: the mean and the highest.
+/// Mean and maximum of a value over all members.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct MeanMax {
     /// The mean.
     pub mean: f64,
-    /// The highest.
+    /// The maximum.
     pub max: f64,
 }
 
 impl MeanMax {
-    /// Of these values; zero where there are none.
+    /// Mean and maximum of these values; zero if there are none.
     pub fn of(values: impl Iterator<Item = f64>) -> MeanMax {
         let (mut count, mut sum, mut max) = (0_u32, 0.0, 0.0_f64);
         for value in values {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run in the small: hollow controllers in simulated time, and real ones beside them. What is bounded is
-//! bounded by counts; no clock decides.
+//! Small scale runs: simulated controllers in simulated time, and real ones beside them. The checks use counters, not
+//! processor time.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -9,10 +9,10 @@
 
 use lockpoint::interface::{Span, Time};
 use lockpoint_lab::scale::address::Address;
-use lockpoint_lab::scale::bounds::{checks, Check, BYTES_A_SECOND, KNOWN_WITHIN_MS};
+use lockpoint_lab::scale::bounds::{checks, Check, MAX_BYTES_PER_SECOND, MAX_PROPAGATION_MS};
 use lockpoint_lab::scale::control_plane::{ChangeId, ControlPlane, ControlPlaneConfig, MakeControlPlane};
 use lockpoint_lab::scale::real::measure_real;
-use lockpoint_lab::scale::report::{verdict, Known, Row};
+use lockpoint_lab::scale::report::{verdict, PropagationResult, Row};
 use lockpoint_lab::scale::run::measure;
 use lockpoint_lab::scale::scenario::Fault;
 use lockpoint_lab::scale::traffic::MeanMax;
@@ -26,27 +26,31 @@
     Options { seconds, seed: SEED, ..Options::default() }
 }
 
-/// A row without what depends on the machine.
-fn counted(row: Row) -> Row {
+/// A row without the values that depend on the machine.
+fn without_machine_values(row: Row) -> Row {
     Row { core_share: MeanMax::default(), call_micros: 0.0, memory_kib: None, ..row }
 }
 
-fn latest(known: &Known) -> Option<u64> {
+fn latest(known: &PropagationResult) -> Option<u64> {
     match known {
-        Known::After(delays) => delays.at_share(1.0),
-        Known::NotAsked | Known::NoMechanism => None,
+        PropagationResult::Measured(delays) => delays.percentile_ms(1.0),
+        PropagationResult::NotMeasured | PropagationResult::NoMechanism => None,
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run_and_the_same_verdict() {
-    let run = || counted(measure(&options(12.0), 60, Fault::Loss, None));
+    let run = || without_machine_values(measure(&options(12.0), 60, Fault::Loss, None));
     let (first, second) = (run(), run());
     assert_eq!(first, second);
     let rows = [first];
-    let by_counts = |check: Check| !check.depends_on_machine();
-    assert_eq!(verdict(&rows, by_counts), (4, 1), "{:?}", checks(&rows[0]));
-    assert_eq!(rows[0].failures(), ["change"], "nothing spreads a change of configuration");
+    let machine_independent = |check: Check| !check.depends_on_machine();
+    assert_eq!(verdict(&rows, machine_independent), (4, 1), "{:?}", checks(&rows[0]));
+    assert_eq!(
+        rows[0].failures(),
+        ["change"],
+        "there is no mechanism that distributes a configuration change"
+    );
 }
 
 #[test]
@@ -55,27 +59,27 @@
     let large = measure(&options(16.0), 60, Fault::OneDies, None);
     for row in [&small, &large] {
         let size = row.controllers;
-        assert!(row.bytes.max <= BYTES_A_SECOND, "{size}: {:?}", row.bytes);
+        assert!(row.bytes.max <= MAX_BYTES_PER_SECOND, "{size}: {:?}", row.bytes);
         assert!(row.entries <= usize::from(size), "{size}: {}", row.entries);
-        assert!(latest(&row.drain).is_some_and(|ms| ms <= KNOWN_WITHIN_MS), "{size}: {:?}", row.drain);
-        assert!(latest(&row.death).is_some_and(|ms| ms <= KNOWN_WITHIN_MS), "{size}: {:?}", row.death);
+        assert!(latest(&row.drain).is_some_and(|ms| ms <= MAX_PROPAGATION_MS), "{size}: {:?}", row.drain);
+        assert!(latest(&row.death).is_some_and(|ms| ms <= MAX_PROPAGATION_MS), "{size}: {:?}", row.death);
         assert_eq!(row.false_suspicions, 0, "{size}");
     }
-    // What a controller handles is bounded by its bytes, not by the size of the fleet.
+    // A controller's datagrams are bounded by its byte limit, not by the size of the fleet.
     let (before, after) = (small.datagrams_in.mean, large.datagrams_in.mean);
-    assert!(after <= before * 1.25, "{before} datagrams a second in, then {after}");
+    assert!(after <= before * 1.25, "received datagrams per second rose from {before} to {after}");
 }
 
 #[test]
 fn a_zone_that_restarts_leaves_its_cold_call_servers_within_their_budget() {
     let row = measure(&options(12.0), 60, Fault::ZoneRestarts, None);
-    assert!(row.cold_set_ups > 0, "nothing was sent to a cold call server");
-    assert_eq!(row.cold_fell, 0);
+    assert!(row.cold_set_ups > 0, "no cold call server received a set-up");
+    assert_eq!(row.cold_failed, 0);
     assert!(row.cold_budget <= 1.0, "{}", row.cold_budget);
 }
 
-/// A control plane that knows no loss: each source tells every member each change once, and every member lists those
-/// that it hears of. It shows that the seam carries a module, not that a module is good.
+/// A control plane for links without loss: a source sends each change to every member once. It tests the interface of
+/// control planes, not a real one.
 struct Broadcast {
     config: ControlPlaneConfig,
     directory: Rc<RefCell<BTreeSet<Address>>>,
@@ -132,7 +136,7 @@
 }
 
 #[test]
-fn a_control_plane_that_is_plugged_in_turns_no_mechanism_into_a_delay() {
+fn with_a_control_plane_the_delay_of_a_change_is_measured() {
     let make: MakeControlPlane = Arc::new(|config: &ControlPlaneConfig, _| {
         Box::new(Broadcast {
             config: config.clone(),
@@ -144,19 +148,19 @@
     let row = measure(&options(10.0), 30, Fault::None, Some(make));
     let slowest = Span::from_millis(30);
     assert!(latest(&row.change).is_some_and(|ms| ms <= slowest.0 / 1_000), "{:?}", row.change);
-    assert_eq!(row.centre.entries, Some(1));
+    assert_eq!(row.central_servers.entries, Some(1));
 }
 
 #[test]
-fn three_real_controllers_beside_sixty_hollow_ones_take_calls_and_learn_what_the_fleet_learns() {
+fn three_real_controllers_beside_sixty_simulated_ones_take_calls_and_receive_updates() {
     let program = Path::new(env!("CARGO_BIN_EXE_lockpoint"));
     let options = Options { real: 3, beside_real: 60, ..options(12.0) };
     let row = on_one_thread(measure_real(&options, program)).expect("it runs");
-    let (asked, stood) = row.calls;
-    assert!(asked > 0, "no call was placed");
-    assert_eq!(stood, asked, "calls that stood, of those asked for");
-    assert!(row.bytes.max <= BYTES_A_SECOND, "{:?}", row.bytes);
+    let (placed, established) = row.calls;
+    assert!(placed > 0, "no call was placed");
+    assert_eq!(established, placed, "calls established, of those placed");
+    assert!(row.bytes.max <= MAX_BYTES_PER_SECOND, "{:?}", row.bytes);
     assert_eq!(row.false_suspicions, 0);
-    assert!(latest(&row.drain).is_some_and(|ms| ms <= KNOWN_WITHIN_MS), "{:?}", row.drain);
-    assert!(latest(&row.death).is_some_and(|ms| ms <= KNOWN_WITHIN_MS), "{:?}", row.death);
+    assert!(latest(&row.drain).is_some_and(|ms| ms <= MAX_PROPAGATION_MS), "{:?}", row.drain);
+    assert!(latest(&row.death).is_some_and(|ms| ms <= MAX_PROPAGATION_MS), "{:?}", row.death);
 }
