--- a/crates/lockpoint-lab/src/fleet/mod.rs
+++ b/crates/lockpoint-lab/src/fleet/mod.rs
@@ -1,9 +1,10 @@
-//! Fleets of controllers under faults: the very code that tells them what the others saw, on driven time.
+//! Fleets of controllers under faults: the production code that exchanges observations between controllers, mostly run in
+//! virtual time.
 
 pub mod cold;
 pub mod cold_budget;
+pub mod core_simulation;
 pub mod crash;
-pub mod driven;
 pub mod limits;
 pub mod mesh;
 pub mod processes;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,7 +2,7 @@
 //! its process, so that no other test's memory counts.
 
 use lockpoint::interface::Span;
-use lockpoint_lab::fleet::driven::{Driven, DrivenConfig};
+use lockpoint_lab::fleet::core_simulation::{CoreSimulation, CoreSimulationConfig};
 use lockpoint_lab::processor::ProcessorConfig;
 
 const SEED: u64 = 19;
@@ -26,25 +26,25 @@
 fn memory_does_not_grow_in_an_hour_of_load_at_110_percent() {
     println!("seed {SEED}");
     let processor = ProcessorConfig { capacity: CAPACITY / f64::from(SERVERS), ..ProcessorConfig::default() };
-    let mut simulation = Driven::new(DrivenConfig {
+    let mut simulation = CoreSimulation::new(CoreSimulationConfig {
         controllers: 1,
         servers: SERVERS,
         processor,
         load: 1.1,
         seed: SEED,
-        ..DrivenConfig::default()
+        ..CoreSimulationConfig::default()
     });
-    simulation.pass(WARM_UP);
+    simulation.advance(WARM_UP);
     let bytes_before = resident_bytes();
-    simulation.pass(HOUR.saturating_sub(WARM_UP));
+    simulation.advance(HOUR.saturating_sub(WARM_UP));
     let growth = resident_bytes().saturating_sub(bytes_before);
     println!(
         "stood {} refused {} grew {growth} bytes from {bytes_before}",
-        simulation.tally.stood, simulation.tally.turned_away
+        simulation.counts.established, simulation.counts.refused
     );
     // The load was applied: an hour at the call servers' capacity, less the work of rejections.
-    assert!(simulation.tally.stood > (CAPACITY * 3_600.0 * 0.75) as u64, "stood {}", simulation.tally.stood);
-    assert!(simulation.tally.turned_away > 1_000, "refused {}", simulation.tally.turned_away);
+    assert!(simulation.counts.established > (CAPACITY * 3_600.0 * 0.75) as u64, "stood {}", simulation.counts.established);
+    assert!(simulation.counts.refused > 1_000, "refused {}", simulation.counts.refused);
     assert!(growth <= MAX_GROWTH_BYTES, "grew {growth} bytes from {bytes_before}");
-    assert!(simulation.open_calls(0) < 500, "open {}", simulation.open_calls(0));
+    assert!(simulation.pending_calls(0) < 500, "open {}", simulation.pending_calls(0));
 }
