--- a/crates/lockpoint-lab/src/fleet/cold_budget/simulation.rs
+++ b/crates/lockpoint-lab/src/fleet/cold_budget/simulation.rs
@@ -14,8 +14,8 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::scenario::{Notice, Scenario};
-use crate::path::chance;
-use crate::processor::{Offer, Processor};
+use crate::path::random_fraction;
+use crate::processor::{Admission, Processor};
 
 /// How long a caller waits for its call to be established.
 const CALLER_TIMEOUT: Span = Span::from_millis(9_000);
@@ -146,8 +146,8 @@
     }
     let first = stop.plus(scenario.away).plus(scenario.restarts.begin);
     for controller in 0..scenario.weights.len() {
-        if chance(&mut run.rng) < scenario.restarts.share {
-            let at = first.plus(scenario.restarts.spread.scale(chance(&mut run.rng)));
+        if random_fraction(&mut run.rng) < scenario.restarts.share {
+            let at = first.plus(scenario.restarts.spread.scale(random_fraction(&mut run.rng)));
             run.schedule(at, SimEvent::ControllerRestarts { controller });
         }
     }
@@ -290,9 +290,9 @@
     fn publish(&mut self, server: usize) {
         let entry = self.servers[server].entry;
         for to in 0..self.members.len() {
-            let mut delay = self.scenario.list_late.scale(chance(&mut self.rng));
-            if chance(&mut self.rng) < self.scenario.very_late_share {
-                delay = Span(delay.0 + self.scenario.very_late.scale(chance(&mut self.rng)).0);
+            let mut delay = self.scenario.list_late.scale(random_fraction(&mut self.rng));
+            if random_fraction(&mut self.rng) < self.scenario.very_late_share {
+                delay = Span(delay.0 + self.scenario.very_late.scale(random_fraction(&mut self.rng)).0);
             }
             self.schedule(self.now.plus(delay), SimEvent::ListUpdate { to, server, entry });
         }
@@ -330,7 +330,7 @@
 
     /// A call server sends its load report first on a new connection.
     fn schedule_load_report(&mut self, to: Incarnation, server: usize) {
-        let delay = Span::from_secs(MAX_FIRST_REPORT_DELAY_S * chance(&mut self.rng));
+        let delay = Span::from_secs(MAX_FIRST_REPORT_DELAY_S * random_fraction(&mut self.rng));
         self.schedule(self.now.plus(delay), SimEvent::LoadReport { to, server });
     }
 
@@ -462,7 +462,7 @@
     }
 
     fn latency(&mut self) -> Span {
-        Span::from_secs(LATENCY_S.0 + (LATENCY_S.1 - LATENCY_S.0) * chance(&mut self.rng))
+        Span::from_secs(LATENCY_S.0 + (LATENCY_S.1 - LATENCY_S.0) * random_fraction(&mut self.rng))
     }
 
     // ---- Set-ups at a call server --------------------------------------------------------
@@ -476,16 +476,16 @@
         notified: bool,
     ) {
         let (now, return_latency) = (self.now, self.latency());
-        let fails = chance(&mut self.rng) < self.scenario.errors;
+        let fails = random_fraction(&mut self.rng) < self.scenario.errors;
         let call_server = &mut self.servers[server];
         let (at, reply) = if call_server.down {
             (now, Reply::NotConnected)
         } else {
             match call_server.processor.offer(now) {
-                Offer::Taken(at) if fails => (at, Reply::Error),
-                Offer::Taken(at) => (at, Reply::Established),
-                Offer::TurnedAway(at, wait) => (at, Reply::Full(wait)),
-                Offer::Tipped => (now, Reply::NotConnected),
+                Admission::Accepted(at) if fails => (at, Reply::Error),
+                Admission::Accepted(at) => (at, Reply::Established),
+                Admission::Rejected(at, wait) => (at, Reply::Full(wait)),
+                Admission::Crashed => (now, Reply::NotConnected),
             }
         };
         if !call_server.down {
@@ -519,7 +519,7 @@
             call_server.recent.pop_front();
         }
         let capacity = self.scenario.capacities[server];
-        let warm_share = call_server.processor.share(now);
+        let warm_share = call_server.processor.capacity_share(now);
         let budget = self.settings.overload_factor * capacity * warm_share * window.secs();
         let bound = budget + 2.0 * budget.sqrt() + 2.0;
         let notified = call_server.recent.iter().filter(|(_, notified)| *notified).count();
@@ -542,13 +542,13 @@
         let burst = if after_stop { self.scenario.burst } else { 1.0 };
         let gap: f64 = Exp1.sample(&mut self.rng);
         let at = self.now.plus(Span::from_secs(gap / (all * self.scenario.load * burst)));
-        let to_cold = after_stop && chance(&mut self.rng) < self.scenario.drawn_to_cold;
+        let to_cold = after_stop && random_fraction(&mut self.rng) < self.scenario.drawn_to_cold;
         let capacities = if to_cold {
             &self.scenario.capacities[..self.scenario.stopped]
         } else {
             &self.scenario.capacities[..]
         };
-        let mut left = chance(&mut self.rng) * capacities.iter().sum::<f64>();
+        let mut left = random_fraction(&mut self.rng) * capacities.iter().sum::<f64>();
         let cell = capacities.iter().position(|capacity| {
             left -= capacity;
             left < 0.0
@@ -559,7 +559,8 @@
 
     /// A caller connects to a controller drawn by its share of the traffic.
     fn call_arrives(&mut self, caller: Caller) {
-        let drawn = chance(&mut self.rng) * self.cumulative_weights.last().copied().unwrap_or_default();
+        let drawn =
+            random_fraction(&mut self.rng) * self.cumulative_weights.last().copied().unwrap_or_default();
         let to = self.cumulative_weights.partition_point(|sum| *sum <= drawn).min(self.members.len() - 1);
         let member = &mut self.members[to];
         member.next_call += 1;
@@ -592,10 +593,10 @@
     /// Schedules a redial of a caller whose call failed, if that caller redials.
     fn schedule_redial(&mut self, caller: Caller, retry_after: Span) {
         let (redial, max_redials) = self.scenario.redial;
-        if caller.redialled >= max_redials || chance(&mut self.rng) >= redial {
+        if caller.redialled >= max_redials || random_fraction(&mut self.rng) >= redial {
             return;
         }
-        let at = self.now.plus(retry_after).plus(Span::from_secs(chance(&mut self.rng)));
+        let at = self.now.plus(retry_after).plus(Span::from_secs(random_fraction(&mut self.rng)));
         self.schedule(at, SimEvent::CallArrives(Caller { redialled: caller.redialled + 1, ..caller }));
     }
 }
--- a/crates/lockpoint-lab/src/fleet/core_simulation.rs
+++ b/crates/lockpoint-lab/src/fleet/core_simulation.rs
@@ -20,9 +20,9 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::sim::Links;
-use crate::load::{CallersConfig, Load, Wanted};
-use crate::path::chance;
-use crate::processor::{Offer, Processor, ProcessorConfig};
+use crate::load::{CallerPlan, CallersConfig, Load};
+use crate::path::random_fraction;
+use crate::processor::{Admission, Processor, ProcessorConfig};
 
 /// How long a caller waits for its call to be established.
 const CALLER_TIMEOUT: Span = Span::from_millis(9_000);
@@ -94,7 +94,7 @@
 }
 
 enum SimEvent {
-    CallArrives(Wanted),
+    CallArrives(CallerPlan),
     CallerHangsUp(u16, u64),
     ServerReplies(u16, u16, Sid, ServerEvent),
     CallEnds(u16, u16, Sid),
@@ -139,7 +139,7 @@
     scheduled: u64,
     deadlines: BTreeSet<(Time, u16)>,
     next_deadlines: Vec<Option<Time>>,
-    callers: BTreeMap<Sid, (u16, Wanted)>,
+    callers: BTreeMap<Sid, (u16, CallerPlan)>,
     /// Controllers that receive no list updates any more.
     without_list: BTreeSet<u16>,
     rng: Pcg64Mcg,
@@ -343,7 +343,7 @@
     fn publish(&mut self, server: u16) {
         let entry = self.servers[usize::from(server)].entry.clone();
         for me in 0..self.config.controllers {
-            let delay = self.config.max_list_delay.scale(chance(&mut self.rng));
+            let delay = self.config.max_list_delay.scale(random_fraction(&mut self.rng));
             self.schedule(self.now.plus(delay), SimEvent::List(me, vec![entry.clone()]));
         }
     }
@@ -446,7 +446,7 @@
         self.input(me, Input::List { source: Source::Bulletin, whole, hosts });
     }
 
-    fn call_arrives(&mut self, wanted: Wanted) {
+    fn call_arrives(&mut self, wanted: CallerPlan) {
         let me = if wanted.redialled == 0 {
             self.counts.calls += 1;
             let rate = self.rate();
@@ -456,11 +456,11 @@
         } else {
             self.draw_controller()
         };
-        if let Some(after) = wanted.gives_up {
-            self.schedule(self.now.plus(after), SimEvent::CallerHangsUp(me, wanted.no));
+        if let Some(after) = wanted.gives_up_after {
+            self.schedule(self.now.plus(after), SimEvent::CallerHangsUp(me, wanted.number));
         }
         let (class, number): (Rc<str>, Rc<str>) = ("judge-call".into(), "7f".into());
-        let sid = Sid::from_number(wanted.no);
+        let sid = Sid::from_number(wanted.number);
         let (body, dest, redialled): (Rc<str>, _, _) =
             ("x".into(), Some(Cell(wanted.dest)), wanted.redialled > 0);
         self.callers.insert(sid, (me, wanted));
@@ -473,10 +473,10 @@
     /// Draws the controller that a caller connects to.
     fn draw_controller(&mut self) -> u16 {
         let (first, all) = (self.config.first_share, self.config.controllers);
-        if all == 1 || chance(&mut self.rng) < first {
+        if all == 1 || random_fraction(&mut self.rng) < first {
             return 0;
         }
-        let drawn = (chance(&mut self.rng) * f64::from(all)) as u16;
+        let drawn = (random_fraction(&mut self.rng) * f64::from(all)) as u16;
         drawn.min(all - 1)
     }
 
@@ -556,18 +556,19 @@
             .drain_notified_at
             .is_some_and(|notified_at| now.since(notified_at) > Span::from_millis(250));
         self.counts.after_drain += u64::from(after_drain);
-        let cold = call_server.processor.share(now) < 1.0;
+        let cold = call_server.processor.capacity_share(now) < 1.0;
         self.counts.to_cold += u64::from(cold);
         let offer = call_server.processor.offer(now);
         if cold {
-            self.counts.max_cold_load = self.counts.max_cold_load.max(call_server.processor.pressure(now));
+            self.counts.max_cold_load =
+                self.counts.max_cold_load.max(call_server.processor.overload_share(now));
         }
         let (at, reply) = match offer {
-            Offer::Taken(at) => (at, ServerEvent::Answered("y".into())),
-            Offer::TurnedAway(at, wait) => {
+            Admission::Accepted(at) => (at, ServerEvent::Answered("y".into())),
+            Admission::Rejected(at, wait) => {
                 (at, ServerEvent::Refused(Refusal::Full, Cause::ProcessorFullFor(wait), Vec::new()))
             }
-            Offer::Tipped => {
+            Admission::Crashed => {
                 call_server.down = true;
                 self.counts.failed_servers += 1;
                 (now.plus(Span::from_millis(2)), not_connected)
--- a/crates/lockpoint-lab/src/fleet/crash.rs
+++ b/crates/lockpoint-lab/src/fleet/crash.rs
@@ -345,7 +345,6 @@
             EventKind::Answered(_) | EventKind::Refused | EventKind::Cancel => {
                 call.outstanding = call.outstanding.saturating_sub(1)
             }
-            }
             EventKind::Ready(_) => (call.established, call.answers) = (true, call.answers + 1),
             EventKind::Close(..) if call.established => call.releases.push(seen.at),
             EventKind::Close(..) => call.answers += 1,
--- a/crates/lockpoint-lab/src/fleet/processes.rs
+++ b/crates/lockpoint-lab/src/fleet/processes.rs
@@ -85,7 +85,8 @@
     /// Its metrics by name, without their common prefix; empty if it does not answer.
     pub async fn metrics(&self) -> BTreeMap<String, u64> {
         let request = Request { command: Command::Info, instance: None };
-        let Ok(Reply::ConsoleAnswers { instances }) = send_request(&self.control_socket, &request).await else {
+        let Ok(Reply::ConsoleAnswers { instances }) = send_request(&self.control_socket, &request).await
+        else {
             return BTreeMap::new();
         };
         let lines = instances.iter().flat_map(|called| called.answer.lines());
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -16,7 +16,8 @@
 use serde_json::{json, Value};
 use support::iax2::{Resolver, SERVICE};
 use support::{
-    config, in_time, name, on_one_thread, Caller, Controller, EventKind, EventLog, Hand, RecordedEvent,
+    config, in_time, name, on_one_thread, Caller, Controller, EventKind, EventLog, RecordedEvent,
+    ScriptedServer,
 };
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -12,7 +12,9 @@
 use rstest::rstest;
 use serde_json::json;
 use support::iax2::{IaxCaller, Resolver, SERVICE};
-use support::{in_time, name, on_one_thread, Bulletin, Controller, EventKind, EventLog, Hand, Wire};
+use support::{
+    in_time, name, on_one_thread, Bulletin, Controller, EventKind, EventLog, ScriptedServer, ServerConnection,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -43,7 +43,11 @@
         simulation.counts.established, simulation.counts.refused
     );
     // The load was applied: an hour at the call servers' capacity, less the work of rejections.
-    assert!(simulation.counts.established > (CAPACITY * 3_600.0 * 0.75) as u64, "stood {}", simulation.counts.established);
+    assert!(
+        simulation.counts.established > (CAPACITY * 3_600.0 * 0.75) as u64,
+        "stood {}",
+        simulation.counts.established
+    );
     assert!(simulation.counts.refused > 1_000, "refused {}", simulation.counts.refused);
     assert!(growth <= MAX_GROWTH_BYTES, "grew {growth} bytes from {bytes_before}");
     assert!(simulation.pending_calls(0) < 500, "open {}", simulation.pending_calls(0));
