--- a/crates/lockpoint-lab/src/load.rs
+++ b/crates/lockpoint-lab/src/load.rs
@@ -89,14 +89,14 @@
     fn plan(&mut self, at: Time, redialled: u32) -> CallerPlan {
         let [iax2, impatient, when, hangs_up] = [(); 4].map(|()| random_fraction(&mut self.rng));
         let dest = (self.rng.next_u32() % u32::from(self.cells)) as u16;
-        let patience = Span::from_millis(self.config.patience_ms);
+        let timeout = Span::from_millis(self.config.patience_ms);
         self.last_number += 1;
         CallerPlan {
             at,
             number: self.last_number,
             iax2: iax2 < self.config.iax2,
             dest,
-            gives_up_after: (impatient < self.config.impatient).then(|| patience.scale(when)),
+            gives_up_after: (impatient < self.config.impatient).then(|| timeout.scale(when)),
             hangs_up: hangs_up < self.config.hang_up,
             redialled,
         }
