--- a/src/rules.rs
+++ b/src/rules.rs
@@ -854,13 +854,11 @@
         if unanswered && has_alternative && in_time && call.attempts < self.settings.max_attempts {
             actions.push(Action::Cancel { call: id, attempt });
             if self.servers.get(&server).is_some_and(has_lost_call) {
-                return self.log(
-                    "lost: a call server answers later set-ups first; cancelling its overdue set-ups",
-                    actions,
-                );
+                return self
+                    .log("lost: a server answers later set-ups first; its overdue are withdrawn", actions);
             }
             self.mark_silent(server);
-            self.log("silent: a call server answers no set-ups; cancelling and diverting its calls", actions);
+            self.log("silent: a server answers no set-ups; its calls are withdrawn and diverted", actions);
         } else {
             self.set_timer(self.recheck_interval(), TimerPurpose::ReviewAttempt(id, attempt), actions);
         }
