--- a/src/front/iax2/outbound_registration.rs
+++ b/src/front/iax2/outbound_registration.rs
@@ -11,6 +11,9 @@
 use crate::interface::Time;
 use crate::upstream::AdapterOutput;
 
+/// Target of the log lines of this module. Log filters and log readers use the name, so it does not follow the path.
+const LOG_TARGET: &str = "lockpoint::front::iax2::registers";
+
 /// Key of the first registrant's deadline; the others follow in order.
 pub(super) const FIRST_KEY: u64 = 1 << 33;
 
@@ -72,7 +75,7 @@
         match registrant.run_timer(now) {
             RegistrantAction::Wait => {}
             RegistrantAction::GiveUp => {
-                tracing::warn!(at = %registrant.address, "registrar does not answer");
+                tracing::warn!(target: LOG_TARGET, at = %registrant.address, "registrar does not answer");
                 self.registrations.legs.retain(|(_, of)| *of != index);
             }
             RegistrantAction::SendRequest => self.send_registration(index, now, output),
@@ -121,14 +124,14 @@
             }
             Kind::Iax(Iax::RegAck) => {
                 if !registrant.is_registered(now) {
-                    tracing::info!(at = %registrant.address, "registered at registrar");
+                    tracing::info!(target: LOG_TARGET, at = %registrant.address, "registered at registrar");
                 }
                 let secs = frame.elements.number(ie::REFRESH).unwrap_or(u32::from(REQUESTED_REFRESH_SECS));
                 registrant.granted(secs, now);
             }
             Kind::Iax(Iax::RegRej | Iax::Reject | Iax::Hangup | Iax::Unsupport) => {
                 let why = frame.elements.text(ie::CAUSE).unwrap_or("no reason given").to_owned();
-                tracing::warn!(at = %registrant.address, why, "registrar refused the registration");
+                tracing::warn!(target: LOG_TARGET, at = %registrant.address, why, "registrar refused the registration");
                 registrant.failed(now);
             }
             _ => return true,
--- a/src/instance/directories.rs
+++ b/src/instance/directories.rs
@@ -11,6 +11,9 @@
 use crate::directory::dns_sd::{self, DnsError};
 use crate::instance::Instance;
 
+/// Target of the log lines of this module. Log filters and log readers use the name, so it does not follow the path.
+const LOG_TARGET: &str = "lockpoint::instance::follow";
+
 /// The directories to follow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct DirectoryConfig {
@@ -91,6 +94,7 @@
         if let Some(spoilt) = taken.malformed.as_ref().filter(|spoilt| spoilt.skipped.is_some()) {
             let instance = self.name();
             tracing::warn!(
+                target: LOG_TARGET,
                 instance, party = "bulletin", why = %spoilt,
                 "unreadable entries skipped; the known list stays"
             );
--- a/src/instance/outage_log.rs
+++ b/src/instance/outage_log.rs
@@ -6,6 +6,9 @@
 use crate::instance::Instance;
 use crate::outages::OutageEvent;
 
+/// Target of the log lines of this module. Log filters and log readers use the name, so it does not follow the path.
+const LOG_TARGET: &str = "lockpoint::instance::notices";
+
 /// A remote party that may fail: its kind and its address.
 pub(super) type Party = (&'static str, SocketAddr);
 
@@ -15,10 +18,21 @@
         let event = self.0.outages.borrow_mut().failed((party, at), self.0.clock.now());
         let instance = self.name();
         match event {
-            Some(OutageEvent::Started) => tracing::warn!(instance, party, %at, %why, "failing"),
+            Some(OutageEvent::Started) => {
+                tracing::warn!(target: LOG_TARGET, instance, party, %at, %why, "failing")
+            }
             Some(OutageEvent::Reminder(times, span)) => {
                 let seconds = span.secs().round();
-                tracing::warn!(instance, party, %at, %why, times, seconds, "still failing");
+                tracing::warn!(
+                    target: LOG_TARGET,
+                    instance,
+                    party,
+                    %at,
+                    %why,
+                    times,
+                    seconds,
+                    "still failing"
+                );
             }
             Some(OutageEvent::Recovered(..)) | None => {}
         }
@@ -29,7 +43,7 @@
         let event = self.0.outages.borrow_mut().recovered(&(party, at), self.0.clock.now());
         if let Some(OutageEvent::Recovered(times, span)) = event {
             let seconds = (span.secs() * 10.0).round() / 10.0;
-            tracing::info!(instance = self.name(), party, %at, times, seconds, "recovered");
+            tracing::info!(target: LOG_TARGET, instance = self.name(), party, %at, times, seconds, "recovered");
         }
     }
 }
--- a/src/instance/persistence.rs
+++ b/src/instance/persistence.rs
@@ -14,6 +14,9 @@
 use crate::recovery::records::{RecordChange, Records};
 use crate::recovery::RecoveryConfig;
 
+/// Target of the log lines of this module. Log filters and log readers use the name, so it does not follow the path.
+const LOG_TARGET: &str = "lockpoint::instance::keep";
+
 /// Groups of changes that may wait for the disk. More mean that the disk hangs; memory must not grow with them.
 const MAX_WAITING: usize = 4_096;
 
@@ -73,6 +76,7 @@
             self.changes = None;
             if !self.counters.failed.swap(true, Ordering::Relaxed) {
                 tracing::error!(
+                    target: LOG_TARGET,
                     "store: the disk does not keep up; no more records are written until the next start"
                 );
             }
@@ -128,6 +132,7 @@
             // No retry: it is unknown how much of the batch was written. The next start reads what is there.
             counters.failed.store(true, Ordering::Relaxed);
             tracing::error!(
+                target: LOG_TARGET,
                 file = %file.display(), %error,
                 "cannot write the store; no more records are written until the next start"
             );
--- a/src/instance/startup.rs
+++ b/src/instance/startup.rs
@@ -28,6 +28,9 @@
 use crate::upstream::iax2::Servers;
 use crate::upstream::sip::Trunks;
 
+/// Target of the log lines of this module. Log filters and log readers use the name, so it does not follow the path.
+const LOG_TARGET: &str = "lockpoint::instance::open";
+
 /// Why a controller cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
@@ -142,7 +145,11 @@
         if has_predecessor && inherited.is_none() {
             predecessor.ask_to_stop();
             if let Some(at) = config.peer_listen.filter(|_| peer_socket.is_none()) {
-                tracing::warn!(%at, "address in use by the predecessor: no peer messages until the next start");
+                tracing::warn!(
+                    target: LOG_TARGET,
+                    %at,
+                    "address in use by the predecessor: no peer messages until the next start"
+                );
             }
         }
         let record_writer = config.store.as_ref().map(|store| {
@@ -204,11 +211,16 @@
         let successors = predecessor.socket_path().and_then(|path| {
             match takeover::listen_for_successor(path).and_then(UnixListener::from_std) {
                 Ok(successors) => {
-                    tracing::info!(place = %path.display(), "listening for a successor");
+                    tracing::info!(target: LOG_TARGET, place = %path.display(), "listening for a successor");
                     Some(successors)
                 }
                 Err(error) => {
-                    tracing::warn!(place = %path.display(), %error, "cannot listen for a successor");
+                    tracing::warn!(
+                        target: LOG_TARGET,
+                        place = %path.display(),
+                        %error,
+                        "cannot listen for a successor"
+                    );
                     None
                 }
             }
